--- a/src/main/java/org/quincecross/emulator/AgentSimulator.java
+++ b/src/main/java/org/quincecross/emulator/AgentSimulator.java
@@ -188,7 +188,7 @@
    * The delay until the next report: the configured interval with a jitter of a quarter either way.
    */
   private double nextReportDelayS() {
-    return environment.site().workers().heartbeatInterval().seconds()
+    return environment.spec().workers().heartbeatInterval().seconds()
         * (0.75 + 0.5 * environment.random().nextDouble());
   }
 
@@ -238,7 +238,7 @@
   }
 
   private void watchLease() {
-    double lease = environment.site().workers().lease().seconds();
+    double lease = environment.spec().workers().lease().seconds();
     double leaseAge = (clock.seconds() - leaseFrom) * traits.clockRate();
     if (leaseAge > lease) {
       dropAllTasks();
@@ -314,10 +314,10 @@
       int next =
           environment.nodeNamed(new String(outcome.response().body(), StandardCharsets.UTF_8));
       boolean known = next >= 0 && next != node;
-      node = known ? next : (node + 1) % environment.site().nodes();
+      node = known ? next : (node + 1) % environment.spec().nodes();
       scheduleReport(known ? 0.4 : 1);
     } else {
-      node = (node + 1) % environment.site().nodes();
+      node = (node + 1) % environment.spec().nodes();
       scheduleReport(1);
     }
   }
@@ -325,7 +325,7 @@
   private void raiseToken(long seen) {
     if (seen > token) {
       token = seen;
-      if (clock.seconds() - tokenReportedAt > environment.site().workers().lease().seconds() / 2) {
+      if (clock.seconds() - tokenReportedAt > environment.spec().workers().lease().seconds() / 2) {
         tokenReportedAt = clock.seconds();
         scheduleReport(0.5);
       }
@@ -471,7 +471,7 @@
   private void waitForGang(TaskAttempt key, Task task, Job job) {
     task.state = "gathering";
     after(
-        environment.site().workers().gangStartTimeout().seconds(),
+        environment.spec().workers().gangStartTimeout().seconds(),
         () -> {
           if (tasks.get(key) == task && task.state.equals("gathering")) {
             exit(key, task, "alone");
@@ -552,7 +552,7 @@
     Task task = tasks.get(key);
     if (task != null && task.state.equals("running")) {
       after(
-          environment.site().workers().gangPeerTimeout().seconds(),
+          environment.spec().workers().gangPeerTimeout().seconds(),
           () -> {
             if (tasks.get(key) == task && !task.isOver()) {
               exit(key, task, "peers");
--- a/src/main/java/org/quincecross/emulator/CloudSimulator.java
+++ b/src/main/java/org/quincecross/emulator/CloudSimulator.java
@@ -60,11 +60,11 @@
   CloudSimulator(ClusterEnvironment environment) {
     this.environment = environment;
     this.random = environment.random();
-    double perSecond = environment.site().cloudLimits().requestsPerSecond();
+    double perSecond = environment.spec().cloudLimits().requestsPerSecond();
     this.requests = new TokenBucket(perSecond, 2 * perSecond, now());
     for (int more = 1, i = 0; more > 0; i++) {
       more = 0;
-      for (ClusterSpec.Pool pool : environment.site().pools()) {
+      for (ClusterSpec.Pool pool : environment.spec().pools()) {
         if (i < pool.initial()) {
           boot(pool, 0, true);
           more++;
@@ -105,7 +105,7 @@
     environment
         .clock()
         .after(
-            environment.site().cloudLimits().listLag().seconds() * (1 + random.nextDouble()),
+            environment.spec().cloudLimits().listLag().seconds() * (1 + random.nextDouble()),
             () -> listed = list);
     environment.clock().after(LIST_REFRESH_INTERVAL_S, this::refreshList);
   }
@@ -136,7 +136,7 @@
     Instance instance = new Instance(machine, pool, environment.clock().seconds());
     instances.put(id, instance);
     rentedPerPool.merge(pool, 1, Integer::sum);
-    boolean unreliable = environment.site().unreliableMachines() && !ordinary;
+    boolean unreliable = environment.spec().unreliableMachines() && !ordinary;
     MachineTraits traits = unreliable ? traits() : MachineTraits.ORDINARY;
     if (!unreliable || random.nextInt(25) != 0) {
       environment
@@ -145,14 +145,14 @@
               bootS,
               () -> {
                 if (instances.get(id) == instance) {
-                  MachineType type = environment.site().type(pool.type());
+                  MachineType type = environment.spec().type(pool.type());
                   instance.worker =
                       new AgentSimulator(
                           environment,
                           machine,
                           type,
                           traits,
-                          random.nextInt(environment.site().nodes()));
+                          random.nextInt(environment.spec().nodes()));
                   environment.network().host(machine.address(), id.text(), instance.worker);
                 }
               });
@@ -231,7 +231,7 @@
       body =
           Json.object(
               "Hulls",
-              environment.site().types().stream().map(CloudSimulator::machineTypeJson).toList());
+              environment.spec().types().stream().map(CloudSimulator::machineTypeJson).toList());
     } else if (request.path().equals("/hosts/return")) {
       for (String name : Json.parseFields(request.body()).strings("Hosts")) {
         terminate(new MachineId(name), 0);
@@ -287,12 +287,12 @@
       return previous;
     }
     List<Object> names = new ArrayList<>();
-    for (ClusterSpec.Pool pool : environment.site().pools()) {
+    for (ClusterSpec.Pool pool : environment.spec().pools()) {
       if (pool.type().equals(type) && pool.zone().equals(zone) && pool.spot() == spot) {
-        TimeSpan boot = environment.site().type(type).bootTime();
+        TimeSpan boot = environment.spec().type(type).bootTime();
         while (names.size() < count
             && rentedPerPool.getOrDefault(pool, 0) < pool.maxMachines()
-            && instances.size() < environment.site().maxMachines()) {
+            && instances.size() < environment.spec().maxMachines()) {
           names.add(
               boot(
                       pool,
--- a/src/main/java/org/quincecross/emulator/ClusterEnvironment.java
+++ b/src/main/java/org/quincecross/emulator/ClusterEnvironment.java
@@ -14,7 +14,7 @@
  * of the rules.
  */
 final class ClusterEnvironment {
-  private final ClusterSpec site;
+  private final ClusterSpec spec;
   private final Clock clock;
   private final Network network;
   private final Random random;
@@ -35,21 +35,21 @@
    * @param stateAt the address of the state service for each controller
    */
   ClusterEnvironment(
-      ClusterSpec site,
+      ClusterSpec spec,
       Clock clock,
       Network network,
       Random random,
       List<Endpoint> nodes,
       Endpoint cloudAt,
       List<Endpoint> stateAt) {
-    this.site = site;
+    this.spec = spec;
     this.clock = clock;
     this.network = network;
     this.random = random;
     this.nodes = nodes;
-    this.state = new KeyValueStoreSimulator(clock, random, site.stateLimits());
+    this.state = new KeyValueStoreSimulator(clock, random, spec.stateLimits());
     this.coldStarts = new ColdStartInvariant(this);
-    this.accounting = new JobAccounting(job -> Settings.objectivesOf(site.objectives(), job));
+    this.accounting = new JobAccounting(job -> Settings.objectivesOf(spec.objectives(), job));
     this.users = new UserSimulator(this);
     this.invariants = new ProtocolInvariants(this);
     this.idleCapacity = new IdleCapacityInvariant(this);
@@ -71,8 +71,8 @@
     clock.after(1, this::checkRules);
   }
 
-  ClusterSpec site() {
-    return site;
+  ClusterSpec spec() {
+    return spec;
   }
 
   Clock clock() {
@@ -145,7 +145,7 @@
 
   /** The controller that a redirect names; -1 if it names none. */
   int nodeNamed(String redirect) {
-    for (int node = 0; node < site.nodes(); node++) {
+    for (int node = 0; node < spec.nodes(); node++) {
       if (redirect.contains("\"" + ClusterSpec.nodeName(node) + "\"")) {
         return node;
       }
--- a/src/main/java/org/quincecross/emulator/ConcurrentReaders.java
+++ b/src/main/java/org/quincecross/emulator/ConcurrentReaders.java
@@ -52,13 +52,13 @@
     if (environment.clock().seconds() >= untilS || random.nextDouble() >= share) {
       return;
     }
-    int first = random.nextInt(environment.site().nodes());
+    int first = random.nextInt(environment.spec().nodes());
     for (int i = 0; i < REQUESTS_PER_EVENT; i++) {
       sendTo(first + i, UserSimulator.RequestKind.STATE, id);
     }
-    sendTo(random.nextInt(environment.site().nodes()), UserSimulator.RequestKind.AGAIN, id);
+    sendTo(random.nextInt(environment.spec().nodes()), UserSimulator.RequestKind.AGAIN, id);
     if (moment == UserSimulator.JobEvent.ACCEPTED && random.nextDouble() < cancelShare) {
-      sendTo(random.nextInt(environment.site().nodes()), UserSimulator.RequestKind.CANCEL, id);
+      sendTo(random.nextInt(environment.spec().nodes()), UserSimulator.RequestKind.CANCEL, id);
       environment.clock().after(REQUEST_WINDOW_S, () -> environment.users().cancel(id));
     }
   }
@@ -68,6 +68,6 @@
         .clock()
         .after(
             REQUEST_WINDOW_S * random.nextDouble(),
-            () -> environment.users().sendOnce(node % environment.site().nodes(), what, id));
+            () -> environment.users().sendOnce(node % environment.spec().nodes(), what, id));
   }
 }
--- a/src/main/java/org/quincecross/emulator/DependencyInvariants.java
+++ b/src/main/java/org/quincecross/emulator/DependencyInvariants.java
@@ -87,7 +87,7 @@
     Double at = dependencyCancelledAt.get(id);
     return at != null
         && environment.clock().seconds()
-            > at + environment.site().workers().cancelTimeout().seconds();
+            > at + environment.spec().workers().cancelTimeout().seconds();
   }
 
   private void checkGone(JobId id) {
--- a/src/main/java/org/quincecross/emulator/Drill.java
+++ b/src/main/java/org/quincecross/emulator/Drill.java
@@ -201,8 +201,8 @@
           enter(Phase.RECOVERY);
         }
         case ZONE -> {
-          double length = ZONE_OUTAGE_LEASES * environment.site().workers().lease().seconds();
-          String zone = environment.site().nodeZones().get(0);
+          double length = ZONE_OUTAGE_LEASES * environment.spec().workers().lease().seconds();
+          String zone = environment.spec().nodeZones().get(0);
           controllers.get(0).setSuspended(true);
           environment.cloud().workers().stream()
               .filter(worker -> worker.machine().zone().equals(zone))
@@ -222,7 +222,7 @@
           enter(Phase.RECOVERY);
         }
         case DEAF -> {
-          double length = INBOUND_LOSS_LEASES * environment.site().workers().lease().seconds();
+          double length = INBOUND_LOSS_LEASES * environment.spec().workers().lease().seconds();
           List<AgentSimulator> workers = environment.cloud().workers();
           for (int i = 0; i < workers.size(); i += INBOUND_LOSS_ONE_IN) {
             workers.get(i).dropInbound(length);
@@ -258,7 +258,7 @@
                   () -> {
                     environment
                         .state()
-                        .limit(environment.site().stateLimits().min(ClusterSpec.TRY_OUT_NEXT));
+                        .limit(environment.spec().stateLimits().min(ClusterSpec.TRY_OUT_NEXT));
                     result.put(
                         "limits_lowered_s",
                         LocalCluster.round(environment.clock().seconds() - faultAt));
--- a/src/main/java/org/quincecross/emulator/IdleCapacityInvariant.java
+++ b/src/main/java/org/quincecross/emulator/IdleCapacityInvariant.java
@@ -74,7 +74,7 @@
     int together = job.kind() == JobKind.GANG ? job.taskCount() : 1;
     Resources left =
         environment
-            .site()
+            .spec()
             .teams()
             .get(job.team())
             .limit()
@@ -107,7 +107,7 @@
    * permits there.
    */
   private int permittedInZone(Job job, String zone, int room) {
-    List<String> zones = new ArrayList<>(environment.site().zones());
+    List<String> zones = new ArrayList<>(environment.spec().zones());
     zones.removeIf(each -> environment.invariants().onMachines(job.id(), each) == 0);
     if (job.singleZone() && !zones.isEmpty() && !zones.contains(zone)) {
       return 0;
--- a/src/main/java/org/quincecross/emulator/LoadBalancerProxy.java
+++ b/src/main/java/org/quincecross/emulator/LoadBalancerProxy.java
@@ -25,7 +25,7 @@
 
   LoadBalancerProxy(ClusterEnvironment environment) {
     this.environment = environment;
-    this.healthy = new boolean[environment.site().nodes()];
+    this.healthy = new boolean[environment.spec().nodes()];
     probe();
   }
 
--- a/src/main/java/org/quincecross/emulator/LoadBalancerSimulator.java
+++ b/src/main/java/org/quincecross/emulator/LoadBalancerSimulator.java
@@ -58,7 +58,7 @@
 
   LoadBalancerSimulator(ClusterEnvironment environment) {
     this.environment = environment;
-    nodes = new Node[environment.site().nodes()];
+    nodes = new Node[environment.spec().nodes()];
     for (int i = 0; i < nodes.length; i++) {
       nodes[i] = new Node();
       probe(i);
--- a/src/main/java/org/quincecross/emulator/LocalCluster.java
+++ b/src/main/java/org/quincecross/emulator/LocalCluster.java
@@ -89,7 +89,7 @@
       boolean live) {}
 
   private final Plan plan;
-  private final ClusterSpec site;
+  private final ClusterSpec spec;
   private final PrintStream output;
   private final EventLoop loop = new EventLoop();
   private final Clock clock = new LoopClock(loop);
@@ -112,9 +112,9 @@
   public LocalCluster(Plan plan, PrintStream out) throws IOException {
     this.plan = plan;
     this.output = out;
-    this.site = ClusterSpec.tryOut(plan.machines(), plan.drill() != null);
+    this.spec = ClusterSpec.tryOut(plan.machines(), plan.drill() != null);
     try {
-      this.jobs = WorkloadFile.read(plan.jobs() == null ? bundledJobs() : plan.jobs(), site);
+      this.jobs = WorkloadFile.read(plan.jobs() == null ? bundledJobs() : plan.jobs(), spec);
     } catch (MalformedMessageException e) {
       throw new IOException("jobs file, " + e.getMessage(), e);
     }
@@ -130,14 +130,14 @@
       checkFree(each);
     }
     network = new LoopbackNetwork(loop, plan.basePort() + MACHINE_PORT);
-    for (int node = 0; node < site.nodes(); node++) {
+    for (int node = 0; node < spec.nodes(); node++) {
       network.setCaller(states.get(node), ClusterSpec.nodeName(node));
     }
     directory = Files.createTempDirectory("quincecross-try-");
     try {
       environment =
           new ClusterEnvironment(
-              site, clock, network, new Random(plan.machines()), nodes, cloud, states);
+              spec, clock, network, new Random(plan.machines()), nodes, cloud, states);
       front = new LoadBalancerProxy(environment);
       network.host(plan.front(), "front", front);
     } catch (UncheckedIOException e) {
@@ -146,12 +146,12 @@
     }
     List<List<String>> before = new ArrayList<>();
     List<List<String>> after = new ArrayList<>();
-    for (int node = 0; node < site.nodes(); node++) {
+    for (int node = 0; node < spec.nodes(); node++) {
       Path settings = directory.resolve(ClusterSpec.nodeName(node) + ".json");
       Files.write(
           settings,
           SettingsWriter.write(
-              site.settings(node, nodes, peers, cloud, states.get(node)),
+              spec.settings(node, nodes, peers, cloud, states.get(node)),
               plan.drill() == Drill.Kind.ROLL ? ClusterSpec.TRY_OUT_NEXT : null));
       String run = plan.run() == null ? ControllerProcess.plainRun(plan.jar()) : plan.run();
       List<String> command = ControllerProcess.command(run, settings);
@@ -224,7 +224,7 @@
 
   private List<Endpoint> ports(int first) {
     List<Endpoint> all = new ArrayList<>();
-    for (int node = 0; node < site.nodes(); node++) {
+    for (int node = 0; node < spec.nodes(); node++) {
       all.add(LoopbackNetwork.at(plan.basePort() + first + node));
     }
     return all;
@@ -254,7 +254,7 @@
     for (String line : Files.readAllLines(info)) {
       if (line.startsWith("MemAvailable:")) {
         long have = Long.parseLong(line.replaceAll("[^0-9]", "")) / 1024;
-        long need = 200L * site.nodes() + site.maxMachines() / 2;
+        long need = 200L * spec.nodes() + spec.maxMachines() / 2;
         if (have < need) {
           throw new IOException(
               "too little memory: " + need + " MB are needed, " + have + " MB are free");
@@ -324,13 +324,13 @@
         boolean heard =
             environment.cloud().workers().stream()
                 .anyMatch(worker -> worker.lastAnsweredReportAt() >= 0);
-        if (front.healthyCount() == site.nodes() && heard) {
+        if (front.healthyCount() == spec.nodes() && heard) {
           readyAt = now;
           enter(State.READY);
           printLine(
               String.format(
                   "ready after %.1f s: %d controllers, %d machines; users reach them at %s",
-                  now, site.nodes(), environment.cloud().workers().size(), plan.front()));
+                  now, spec.nodes(), environment.cloud().workers().size(), plan.front()));
           submit();
           if (drill != null) {
             drill.begin(jobs.get(jobs.size() - 1).atS());
@@ -464,7 +464,7 @@
             now,
             state.toString().toLowerCase(java.util.Locale.ROOT),
             front.healthyCount(),
-            site.nodes(),
+            spec.nodes(),
             environment.cloud().workers().size(),
             environment.users().submitted(),
             ended.size(),
--- a/src/main/java/org/quincecross/emulator/MalformedRequests.java
+++ b/src/main/java/org/quincecross/emulator/MalformedRequests.java
@@ -78,7 +78,7 @@
                 done.add(id);
               }
             });
-    int node = random.nextInt(environment.site().nodes());
+    int node = random.nextInt(environment.spec().nodes());
     switch (random.nextInt(4)) {
       case 0 -> sendForAnyOf(open, node, UserSimulator.RequestKind.AGAIN);
       case 1 -> sendForAnyOf(done, node, UserSimulator.RequestKind.CANCEL);
@@ -115,7 +115,7 @@
             "Lane",
             "odd",
             "Crew",
-            environment.site().teams().keySet().iterator().next(),
+            environment.spec().teams().keySet().iterator().next(),
             "Shape",
             "standing",
             "Rank",
--- a/src/main/java/org/quincecross/emulator/OverloadDay.java
+++ b/src/main/java/org/quincecross/emulator/OverloadDay.java
@@ -106,17 +106,17 @@
   private final long seed;
 
   public OverloadDay(Measurement.Kind kind, int machines, long seed, Features features) {
-    ClusterSpec site =
+    ClusterSpec spec =
         kind == Measurement.Kind.FLEET ? ClusterSpec.fleet(machines) : ClusterSpec.mixed(machines);
     this.seed = seed;
     this.random = new Random(seed);
-    this.cluster = new SimulatedCluster(site, seed, Meter.OFF, features);
+    this.cluster = new SimulatedCluster(spec, seed, Meter.OFF, features);
     this.load = new WorkloadGenerator(cluster.environment(), seed);
     cluster.time().at(WORKLOAD_START_S, () -> load.begin(INITIAL_JOBS_SPREAD_S));
     sample();
     int troubles = 1 + random.nextInt(3);
     for (int i = 0; i < troubles; i++) {
-      ClusterSpec.JobClass burst = site.classes().get(random.nextInt(site.classes().size()));
+      ClusterSpec.JobClass burst = spec.classes().get(random.nextInt(spec.classes().size()));
       double factor = 2 + 3 * random.nextDouble();
       double lasts = 40 + 60 * random.nextDouble();
       cluster
@@ -156,7 +156,7 @@
               }
               capacity.add(up.minus(cluster.invariants().serviceResources()));
               Resources inUse = Resources.NONE;
-              for (String team : cluster.site().teams().keySet()) {
+              for (String team : cluster.spec().teams().keySet()) {
                 inUse = inUse.plus(cluster.invariants().used(team));
               }
               used.add(inUse.minus(cluster.invariants().serviceResources()));
--- a/src/main/java/org/quincecross/emulator/ProtocolInvariants.java
+++ b/src/main/java/org/quincecross/emulator/ProtocolInvariants.java
@@ -83,7 +83,7 @@
     if (places.size() > 1) {
       addViolation("ran_twice", task + " on " + places.keySet());
     }
-    if (!used(job.team()).fitsIn(environment.site().teams().get(job.team()).limit())) {
+    if (!used(job.team()).fitsIn(environment.spec().teams().get(job.team()).limit())) {
       addViolation("quota", task + " brings " + job.team() + " to " + used(job.team()));
     }
     Map<String, Integer> inZones = zones.get(job.id());
@@ -195,7 +195,7 @@
         && !overdueCancellations.contains(job)
         && zones.containsKey(job)
         && environment.clock().seconds()
-            > at + environment.site().workers().cancelTimeout().seconds()) {
+            > at + environment.spec().workers().cancelTimeout().seconds()) {
       overdueCancellations.add(job);
       addViolation("ran_cancelled", job + " in " + zones.get(job));
     }
--- a/src/main/java/org/quincecross/emulator/RequestDay.java
+++ b/src/main/java/org/quincecross/emulator/RequestDay.java
@@ -92,10 +92,10 @@
 
   private RequestDay(int machines, long seed, double share, double mostShare) {
     this.share = share;
-    ClusterSpec site = ClusterSpec.fleet(machines);
+    ClusterSpec spec = ClusterSpec.fleet(machines);
     cluster =
         new SimulatedCluster(
-            site,
+            spec,
             seed,
             Meter.OFF,
             new Features(
@@ -104,11 +104,11 @@
                 Build.present("requests", FeatureLevel.NEWEST.number()),
                 Map.of("requests", Map.of("share", SHARE))));
     front =
-        site.classes().stream()
+        spec.classes().stream()
             .filter(each -> each.kind() == JobKind.SERVICE)
             .findFirst()
             .orElseThrow();
-    MachineType type = site.types().get(0);
+    MachineType type = spec.types().get(0);
     requests =
         (int)
             Math.max(
@@ -125,7 +125,7 @@
         .at(
             FLOOD_AT_S,
             () ->
-                site.classes().stream()
+                spec.classes().stream()
                     .filter(each -> !each.equals(front))
                     .forEach(each -> load.burst(each.name(), FLOOD_FACTOR, FLOOD_DURATION_S)));
     if (share > 0) {
@@ -189,16 +189,16 @@
    * cloud's capacity.
    */
   private void grow() {
-    ClusterSpec site = cluster.site();
+    ClusterSpec spec = cluster.spec();
     String team =
-        site.teams().values().stream()
+        spec.teams().values().stream()
             .filter(each -> !each.name().equals(front.name()))
             .max(Comparator.comparing(each -> each.limit().cpus()))
             .orElseThrow()
             .name();
     int tasks =
-        site.maxMachines()
-            * site.types().get(0).capacity().capacityFor(front.taskResources())
+        spec.maxMachines()
+            * spec.types().get(0).capacity().capacityFor(front.taskResources())
             / GROWTH_STEPS;
     cluster
         .users()
@@ -275,7 +275,7 @@
               return started;
             });
     for (AgentSimulator worker : cluster.cloud().workers()) {
-      MachineType type = cluster.site().type(worker.machine().type());
+      MachineType type = cluster.spec().type(worker.machine().type());
       price +=
           (worker.machine().spot() ? type.hourlySpotPrice() : type.hourlyPrice())
               * CHECK_INTERVAL_S
--- a/src/main/java/org/quincecross/emulator/SimulatedCluster.java
+++ b/src/main/java/org/quincecross/emulator/SimulatedCluster.java
@@ -44,7 +44,7 @@
   static final double EPOCH_S = 1_000_000;
 
   private final VirtualTime time = new VirtualTime();
-  private final ClusterSpec site;
+  private final ClusterSpec spec;
   private final BiConsumer<Integer, Controller> prepare;
   private final Features[] features;
   private final Random random;
@@ -85,44 +85,44 @@
     state().applyLate(60);
   }
 
-  SimulatedCluster(ClusterSpec site, long seed, Meter meter) {
-    this(site, seed, meter, Features.NONE);
+  SimulatedCluster(ClusterSpec spec, long seed, Meter meter) {
+    this(spec, seed, meter, Features.NONE);
   }
 
   /**
    * @param features the features that are enabled in all controllers
    */
-  SimulatedCluster(ClusterSpec site, long seed, Meter meter, Features features) {
-    this(site, seed, meter, features, (node, controller) -> {});
+  SimulatedCluster(ClusterSpec spec, long seed, Meter meter, Features features) {
+    this(spec, seed, meter, features, (node, controller) -> {});
   }
 
   /**
    * @param prepare applied to each controller, with its number, before it starts
    */
   SimulatedCluster(
-      ClusterSpec site,
+      ClusterSpec spec,
       long seed,
       Meter meter,
       Features features,
       BiConsumer<Integer, Controller> prepare) {
     this.prepare = prepare;
-    this.site = site;
-    this.features = new Features[site.nodes()];
+    this.spec = spec;
+    this.features = new Features[spec.nodes()];
     Arrays.fill(this.features, features);
     this.meter = meter;
     random = new Random(seed);
     network = new VirtualNetwork(time, random);
     nodes =
-        IntStream.range(0, site.nodes())
+        IntStream.range(0, spec.nodes())
             .mapToObj(node -> new Endpoint("10.0.0." + (node + 1), 8080))
             .toList();
-    processes = new ProcessScope[site.nodes()];
-    controllers = new Controller[site.nodes()];
+    processes = new ProcessScope[spec.nodes()];
+    controllers = new Controller[spec.nodes()];
     environment =
         new ClusterEnvironment(
-            site, time, network, random, nodes, CLOUD, Collections.nCopies(site.nodes(), STATE));
+            spec, time, network, random, nodes, CLOUD, Collections.nCopies(spec.nodes(), STATE));
     network.watchStarts(this::checkStarts);
-    for (int node = 0; node < site.nodes(); node++) {
+    for (int node = 0; node < spec.nodes(); node++) {
       hostNode(node);
       startNode(node);
     }
@@ -153,8 +153,8 @@
     network.observe(observer);
   }
 
-  ClusterSpec site() {
-    return site;
+  ClusterSpec spec() {
+    return spec;
   }
 
   VirtualTime time() {
@@ -190,11 +190,11 @@
   }
 
   Team team(String name) {
-    return site.teams().get(name);
+    return spec.teams().get(name);
   }
 
   int nodeCount() {
-    return site.nodes();
+    return spec.nodes();
   }
 
   // ---- controllers ----
@@ -285,8 +285,8 @@
               }
             },
             peerLinks(name),
-            site.with(configuredTeams.getOrDefault(node, site.teams()))
-                .with(configuredLimits.getOrDefault(node, site.stateLimits()))
+            spec.with(configuredTeams.getOrDefault(node, spec.teams()))
+                .with(configuredLimits.getOrDefault(node, spec.stateLimits()))
                 .settings(node, nodes, nodes, CLOUD, STATE),
             features[node],
             () -> (long) ((time.seconds() + clockAheadS) * 1000),
@@ -410,7 +410,7 @@
   void crash(int node) {
     if (processes[node].isAlive()) {
       processes[node].end();
-      time.after(site.restart().seconds(), () -> startNode(node));
+      time.after(spec.restart().seconds(), () -> startNode(node));
     }
   }
 
@@ -436,7 +436,7 @@
    * From its next start on, the settings of a controller announce new limits of the state service.
    */
   void configureNextLimits(int node, Settings.StoreLimits next) {
-    configuredLimits.put(node, site.stateLimits().min(next));
+    configuredLimits.put(node, spec.stateLimits().min(next));
   }
 
   /** Replaces a controller by one with another build: it ends, and the new one starts. */
@@ -487,7 +487,7 @@
         share == 0
             ? DuplicatedMessages.NONE
             : DuplicatedMessages.delayed(
-                share, 3 * site.workers().lease().seconds(), nodes, draws));
+                share, 3 * spec.workers().lease().seconds(), nodes, draws));
   }
 
   /**
--- a/src/main/java/org/quincecross/emulator/SmallJobs.java
+++ b/src/main/java/org/quincecross/emulator/SmallJobs.java
@@ -31,7 +31,7 @@
       double fromS,
       double seconds,
       Random random) {
-    String team = cluster.site().teams().keySet().stream().sorted().findFirst().orElseThrow();
+    String team = cluster.spec().teams().keySet().stream().sorted().findFirst().orElseThrow();
     for (int i = 0; i < perSecond * seconds; i++) {
       Job job =
           Job.builder(new JobId("job-" + (FIRST_NUMBER + i)))
--- a/src/main/java/org/quincecross/emulator/UserSimulator.java
+++ b/src/main/java/org/quincecross/emulator/UserSimulator.java
@@ -433,7 +433,7 @@
               new ProcessScope(),
               "users",
               environment.node(
-                  node == ANY_NODE ? random.nextInt(environment.site().nodes()) : node),
+                  node == ANY_NODE ? random.nextInt(environment.spec().nodes()) : node),
               request,
               TimeSpan.ofSeconds(timeout),
               answered);
@@ -474,7 +474,7 @@
           if (outcome.status() == 200) {
             polls.answered(id);
           }
-          boolean atSize = !environment.site().classes().isEmpty();
+          boolean atSize = !environment.spec().classes().isEmpty();
           if (!atSize || isOpen(id)) {
             environment
                 .clock()
--- a/src/main/java/org/quincecross/emulator/WorkloadFile.java
+++ b/src/main/java/org/quincecross/emulator/WorkloadFile.java
@@ -67,14 +67,14 @@
     }
   }
 
-  private final ClusterSpec site;
+  private final ClusterSpec spec;
   private final List<ScheduledJob> scheduled = new ArrayList<>();
 
   /** The jobs by name, for the dependencies of others; tables may share a name. */
   private final Map<String, List<JobId>> jobsByName = new HashMap<>();
 
-  private WorkloadFile(ClusterSpec site) {
-    this.site = site;
+  private WorkloadFile(ClusterSpec spec) {
+    this.spec = spec;
   }
 
   /**
@@ -83,7 +83,7 @@
    *
    * @throws MalformedMessageException with the line and the field that are wrong
    */
-  static List<ScheduledJob> read(String text, ClusterSpec site) throws MalformedMessageException {
+  static List<ScheduledJob> read(String text, ClusterSpec spec) throws MalformedMessageException {
     TomlParseResult toml = Toml.parse(text);
     if (toml.hasErrors()) {
       throw new MalformedMessageException(
@@ -104,7 +104,7 @@
         || !jobs.toList().stream().allMatch(TomlTable.class::isInstance)) {
       throw new MalformedMessageException("line 1: no [[jobs]]");
     }
-    WorkloadFile file = new WorkloadFile(site);
+    WorkloadFile file = new WorkloadFile(spec);
     for (int i = 0; i < jobs.size(); i++) {
       file.readTable(jobs.getTable(i), jobs.inputPositionOf(i));
     }
@@ -204,8 +204,8 @@
     String name = in.text("name", null);
     JobKind kind = in.word("shape", SHAPES);
     String team = in.text("team", null);
-    if (!site.teams().containsKey(team)) {
-      throw in.malformed("team", "is not one of " + site.teams().keySet());
+    if (!spec.teams().containsKey(team)) {
+      throw in.malformed("team", "is not one of " + spec.teams().keySet());
     }
     int tasks = in.count("tasks", 1, MAX_TASKS);
     Resources each =
@@ -216,7 +216,7 @@
     if (each.cpus() <= 0) {
       throw in.malformed("cpus", "is not above 0");
     }
-    if (site.types().stream().noneMatch(type -> each.fitsIn(type.capacity()))) {
+    if (spec.types().stream().noneMatch(type -> each.fitsIn(type.capacity()))) {
       throw in.malformed("cpus", "and memory_gb of a task fit no machine of this site");
     }
     boolean runs = kind != JobKind.SERVICE;
@@ -224,8 +224,8 @@
     double every = in.amount("every_s", 0, 100_000);
     double due = in.amount("due_s", 0, 1_000_000);
     int copies = in.count("copies", 1, MAX_COPIES);
-    int perMachines = in.count("per_machines", site.maxMachines(), Integer.MAX_VALUE);
-    int all = Math.max(1, copies * site.maxMachines() / perMachines);
+    int perMachines = in.count("per_machines", spec.maxMachines(), Integer.MAX_VALUE);
+    int all = Math.max(1, copies * spec.maxMachines() / perMachines);
     List<List<JobId>> before = dependencies(in);
     List<JobId> ids = new ArrayList<>();
     for (int i = 0; i < all; i++) {
--- a/src/main/java/org/quincecross/emulator/WorkloadGenerator.java
+++ b/src/main/java/org/quincecross/emulator/WorkloadGenerator.java
@@ -45,7 +45,7 @@
 
   /** Submits the initial jobs, spread over some seconds, and the later arrivals. */
   void begin(double overSeconds) {
-    for (ClusterSpec.JobClass jobClass : environment.site().classes()) {
+    for (ClusterSpec.JobClass jobClass : environment.spec().classes()) {
       DiscreteSampler images =
           RejectionInversionZipfSampler.of(random, jobClass.images(), ZIPF_EXPONENT);
       for (int i = 0; i < jobClass.initial(); i++) {
@@ -73,7 +73,7 @@
     PipelineGenerator generator =
         new PipelineGenerator(
             new Random(random.nextLong()),
-            List.copyOf(environment.site().teams().keySet()),
+            List.copyOf(environment.spec().teams().keySet()),
             jobClass,
             FIRST_OF_PIPELINES);
     pipeline(generator, ZigguratSampler.Exponential.of(random, 60 / perMinute), new ArrayList<>());
@@ -96,7 +96,7 @@
   /** For some time jobs of a class arrive several times as often. */
   void burst(String className, double factor, double seconds) {
     double until = environment.clock().seconds() + seconds;
-    for (ClusterSpec.JobClass jobClass : environment.site().classes()) {
+    for (ClusterSpec.JobClass jobClass : environment.spec().classes()) {
       if (jobClass.name().equals(className) && jobClass.perMinute() > 0 && factor > 1) {
         scheduleArrivals(
             jobClass,
@@ -148,9 +148,9 @@
   }
 
   private Job randomJob(ClusterSpec.JobClass jobClass, DiscreteSampler images) {
-    String[] teams = environment.site().teams().keySet().toArray(String[]::new);
+    String[] teams = environment.spec().teams().keySet().toArray(String[]::new);
     String team =
-        environment.site().teams().containsKey(jobClass.name())
+        environment.spec().teams().containsKey(jobClass.name())
             ? jobClass.name()
             : teams[random.nextInt(teams.length)];
     boolean varies = jobClass.kind() != JobKind.GANG;
--- a/src/test/java/org/quincecross/emulator/AgentsCannotConnectTest.java
+++ b/src/test/java/org/quincecross/emulator/AgentsCannotConnectTest.java
@@ -26,7 +26,7 @@
   @ParameterizedTest
   @CsvSource({"8, 8, -1", "8, 60, -1", "8, 60, 3", "8, 60, 11", "22, 20, 2", "22, 45, 14"})
   void tasksRunElsewhereOnceLeasesHaveExpired(int count, double seconds, double leaderEndsAfterS) {
-    double lease = site.workers().lease().seconds();
+    double lease = spec.workers().lease().seconds();
     cluster.time().runUntil(40);
     List<MachineId> mute = cluster.cloud().machines().subList(0, count);
     int before = mute.stream().mapToInt(cluster.invariants()::onMachine).sum();
@@ -49,7 +49,7 @@
 
   private boolean isOpen(MachineId machine) {
     boolean[] open = new boolean[1];
-    for (int node = 0; node < site.nodes(); node++) {
+    for (int node = 0; node < spec.nodes(); node++) {
       cluster.sendDirectly(
           node,
           HttpRequest.get("/admin/machines"),
--- a/src/test/java/org/quincecross/emulator/BusyCluster.java
+++ b/src/test/java/org/quincecross/emulator/BusyCluster.java
@@ -40,7 +40,7 @@
             run_s = 6
             """;
 
-  final ClusterSpec site = ClusterSpec.tryOut(MACHINES, true);
+  final ClusterSpec spec = ClusterSpec.tryOut(MACHINES, true);
   final SimulatedCluster cluster;
   final List<JobId> services = new ArrayList<>();
   final List<JobId> arrays = new ArrayList<>();
@@ -50,14 +50,14 @@
   }
 
   BusyCluster(long seed) throws MalformedMessageException {
-    cluster = new SimulatedCluster(site, seed, Meter.OFF);
+    cluster = new SimulatedCluster(spec, seed, Meter.OFF);
     submit(cluster, services, arrays);
   }
 
   /** Submits the jobs to a cluster from its fourth second on, and records their ids. */
   static void submit(SimulatedCluster cluster, List<JobId> services, List<JobId> arrays)
       throws MalformedMessageException {
-    for (WorkloadFile.ScheduledJob due : WorkloadFile.read(JOBS, cluster.site())) {
+    for (WorkloadFile.ScheduledJob due : WorkloadFile.read(JOBS, cluster.spec())) {
       cluster.time().at(4 + due.atS(), () -> cluster.users().submit(due.job()));
       (due.job().jobClass().equals("rebuild") ? arrays : services).add(due.job().id());
     }
--- a/src/test/java/org/quincecross/emulator/CancellationDuringFailoverTest.java
+++ b/src/test/java/org/quincecross/emulator/CancellationDuringFailoverTest.java
@@ -116,7 +116,7 @@
   @ParameterizedTest
   @CsvSource({"-0.1, 0", "0, 0", "0, 6", "0.05, 0"})
   void cancelsInTimeWhenLeaderIsRefused(double afterS, double hangS) {
-    double outage = site.workers().cancelTimeout().seconds() + 9;
+    double outage = spec.workers().cancelTimeout().seconds() + 9;
     cluster
         .time()
         .at(
--- a/src/test/java/org/quincecross/emulator/CancellationDuringOutageScenario.java
+++ b/src/test/java/org/quincecross/emulator/CancellationDuringOutageScenario.java
@@ -138,7 +138,7 @@
   private void injectFaults() {
     int leader = cluster.leader();
     int refused = leader >= 0 && !oneIn(4) ? leader : random.nextInt(cluster.nodeCount());
-    double cancelS = cluster.site().workers().cancelTimeout().seconds();
+    double cancelS = cluster.spec().workers().cancelTimeout().seconds();
     double refusal = 1 + randomUpTo(17);
     after(0, () -> cluster.state().refuse(ClusterSpec.nodeName(refused), refusal));
     if (oneIn(4)) {
--- a/src/test/java/org/quincecross/emulator/CancellationDuringOutageTest.java
+++ b/src/test/java/org/quincecross/emulator/CancellationDuringOutageTest.java
@@ -33,7 +33,7 @@
   private static final int LONG_JOBS = 20;
   private static final int JOBS_NOT_CANCELLED = 4;
 
-  private final double cancelS = site.workers().cancelTimeout().seconds();
+  private final double cancelS = spec.workers().cancelTimeout().seconds();
   private final double outageDurationS = cancelS + 12;
   private final List<JobId> longJobs = new ArrayList<>();
   private double outageStartS = OUTAGE_START_S;
--- a/src/test/java/org/quincecross/emulator/CapacityExhaustedTest.java
+++ b/src/test/java/org/quincecross/emulator/CapacityExhaustedTest.java
@@ -106,7 +106,7 @@
   void noJobWaitsLongBesideFreeCapacity(Mix mix, long seed, boolean overload) {
     Features features =
         overload ? new Features(Shares.DEFAULTS, null, Build.BEFORE_LEVELS) : Features.NONE;
-    ClusterSpec site =
+    ClusterSpec spec =
         ClusterSpec.tryOut(MACHINES, true)
             .with(
                 Map.of(
@@ -116,7 +116,7 @@
                     team("batch", 1000),
                     "big",
                     team("big", mix == Mix.LARGE_AT_ITS_LIMIT ? 18 : 1000)));
-    cluster = new SimulatedCluster(site, seed, Meter.OFF, features);
+    cluster = new SimulatedCluster(spec, seed, Meter.OFF, features);
     Random random = new Random(seed * 31 + mix.ordinal());
     cluster.delayMessages(0.5, 4, random);
     cluster.time().at(8, () -> cluster.state().slowDown(0.2, 1.2, FAULT_END_S - 8, random));
--- a/src/test/java/org/quincecross/emulator/CombinedFaults.java
+++ b/src/test/java/org/quincecross/emulator/CombinedFaults.java
@@ -124,7 +124,7 @@
   }
 
   private double length(Fault fault, Random random) {
-    double cancel = cluster.site().workers().cancelTimeout().seconds();
+    double cancel = cluster.spec().workers().cancelTimeout().seconds();
     return switch (fault) {
       case REFUSED_THEN_OUTAGE -> cancel + 4 + 22 * random.nextDouble();
       case LONE_LEADER, UNREACHED, SILENCE -> 4 + 30 * random.nextDouble();
@@ -135,7 +135,7 @@
   }
 
   private void begin(Fault fault, long seed, double atS, double lengthS) {
-    double lease = cluster.site().workers().lease().seconds();
+    double lease = cluster.spec().workers().lease().seconds();
     // Duplicates of the last reports arrive leases later, the last writes and commands seconds
     // later; failed processes restart.
     overS = Math.max(overS, atS + lengthS + (fault == Fault.LATE_REPORTS ? 3 * lease : 13));
@@ -193,7 +193,7 @@
         cluster.state().slowDown(least, least + 3 * share, length, random);
       }
       case REFUSED_THEN_OUTAGE -> {
-        double outage = cluster.site().workers().cancelTimeout().seconds() + 2 + 6 * share;
+        double outage = cluster.spec().workers().cancelTimeout().seconds() + 2 + 6 * share;
         double alone = Math.max(0.5, length - outage);
         cluster.state().refuse(ClusterSpec.nodeName(leader), alone + 0.2);
         after(alone, () -> cluster.state().outage(outage));
@@ -251,7 +251,7 @@
                   });
       case ZONE ->
           new ZonePartitions(cluster)
-              .zone(random.nextInt(cluster.site().zones().size()), length, lose);
+              .zone(random.nextInt(cluster.spec().zones().size()), length, lose);
       case CANCELLATIONS -> {
         for (JobId id : openJobs(random, 0.1 + 0.3 * share)) {
           after(length * random.nextDouble(), () -> cluster.users().cancel(id));
--- a/src/test/java/org/quincecross/emulator/ControllerFailuresTest.java
+++ b/src/test/java/org/quincecross/emulator/ControllerFailuresTest.java
@@ -75,7 +75,7 @@
   @CsvSource({"35, false", "90, false", "35, true", "90, true"})
   void returningControllerLearnsStateSoon(double seconds, boolean keepsMemory) {
     cluster.time().runUntil(30);
-    int node = (cluster.leader() + 1) % site.nodes();
+    int node = (cluster.leader() + 1) % spec.nodes();
     cluster.isolate(node, seconds, keepsMemory);
     cluster.time().runUntil(30 + seconds + 8);
     assertEquals(36, replicasAccordingTo(node));
@@ -141,9 +141,9 @@
    */
   private static int shardsLeasedWhileUnreachable(BusyCluster on) {
     SimulatedCluster cluster = on.cluster;
-    ClusterSpec site = on.site;
+    ClusterSpec spec = on.spec;
     cluster.time().runUntil(30);
-    int deaf = (cluster.leader() + 1) % site.nodes();
+    int deaf = (cluster.leader() + 1) % spec.nodes();
     cluster
         .cloud()
         .machines()
@@ -159,7 +159,7 @@
       most = at > 45 ? Math.max(most, now) : most;
     }
     assertTrue(
-        most <= site.zones().size(),
+        most <= spec.zones().size(),
         most + " blocks at once, one of each zone to see whether it hears that");
     return given;
   }
@@ -175,7 +175,7 @@
     int first = cluster.leader();
     cluster.suspend(first, seconds);
     cluster.time().runUntil(20 + seconds / 2 + 5);
-    cluster.suspend((first + 1) % site.nodes(), seconds);
+    cluster.suspend((first + 1) % spec.nodes(), seconds);
     cluster.time().runUntil(20 + seconds + 0.3);
     cluster.suspend(first, seconds);
     cluster.time().runUntil(20 + 3 * seconds + 20);
@@ -237,7 +237,7 @@
   @ValueSource(doubles = {8, 30})
   void excessivePollsDoNotDelaySubmissions(double factor) {
     cluster.time().runUntil(20);
-    cluster.isolate((cluster.leader() + 1) % site.nodes(), 40, false);
+    cluster.isolate((cluster.leader() + 1) % spec.nodes(), 40, false);
     cluster.users().multiplyPolls(factor, 60);
     List<JobId> late = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
--- a/src/test/java/org/quincecross/emulator/DeadlineRequestCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/DeadlineRequestCasesTest.java
@@ -36,10 +36,10 @@
 
   private static final long HOUR_MS = 3_600_000;
 
-  private final ClusterSpec site = ClusterSpec.tryOut(MACHINES, true);
+  private final ClusterSpec spec = ClusterSpec.tryOut(MACHINES, true);
   private final SimulatedCluster cluster =
       new SimulatedCluster(
-          site,
+          spec,
           5,
           Meter.OFF,
           new Features(
--- a/src/test/java/org/quincecross/emulator/DependencyCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/DependencyCasesTest.java
@@ -123,7 +123,7 @@
             && told.containsKey(id)
             && !"cancelled".equals(told.get(id))
             && cluster.time().seconds()
-                > since + cluster.site().workers().cancelTimeout().seconds()) {
+                > since + cluster.spec().workers().cancelTimeout().seconds()) {
           findings.add("orphaned at " + cluster.time().seconds() + ": " + id);
         }
       }
@@ -409,7 +409,7 @@
       assertTrue(cluster.time().seconds() < 90, "never reported");
     }
     Map<String, Integer> said = new TreeMap<>();
-    double until = cluster.time().seconds() + cluster.site().workers().cancelTimeout().seconds();
+    double until = cluster.time().seconds() + cluster.spec().workers().cancelTimeout().seconds();
     for (int i = 0; i < length; i++) {
       int number = i;
       cluster
--- a/src/test/java/org/quincecross/emulator/DependencyFaults.java
+++ b/src/test/java/org/quincecross/emulator/DependencyFaults.java
@@ -33,7 +33,7 @@
     this.generator =
         new PipelineGenerator(
             random,
-            List.copyOf(cluster.site().teams().keySet()),
+            List.copyOf(cluster.spec().teams().keySet()),
             new Resources(1, 0, 2),
             FIRST_NUMBER);
   }
--- a/src/test/java/org/quincecross/emulator/DuplicatedMessagesTest.java
+++ b/src/test/java/org/quincecross/emulator/DuplicatedMessagesTest.java
@@ -32,11 +32,11 @@
    */
   @Test
   void duplicatesKeepNoMachineAlive() {
-    double lease = site.workers().lease().seconds();
+    double lease = spec.workers().lease().seconds();
     cluster.time().runUntil(40);
     List<MachineId> cut = cluster.cloud().machines().subList(0, 8);
     for (MachineId machine : cut) {
-      for (int node = 0; node < site.nodes(); node++) {
+      for (int node = 0; node < spec.nodes(); node++) {
         cluster.cut(ClusterSpec.nodeName(node), machine.text(), 300, true);
       }
     }
@@ -84,7 +84,7 @@
     for (double at = 40; at < 130; at += 0.25) {
       cluster.time().runUntil(at);
       boolean there = isInShard(machine);
-      for (int node = 0; left && node < site.nodes(); node++) {
+      for (int node = 0; left && node < spec.nodes(); node++) {
         if (cluster.status(node) != null) {
           cluster.sendDirectly(node, copy, response -> {});
         }
@@ -102,7 +102,7 @@
 
   private boolean isInShard(MachineId machine) {
     boolean[] there = new boolean[1];
-    for (int node = 0; node < site.nodes(); node++) {
+    for (int node = 0; node < spec.nodes(); node++) {
       if (cluster.status(node) != null) {
         cluster.sendDirectly(
             node,
@@ -159,14 +159,14 @@
         .subList(10, 14)
         .forEach(
             worker -> {
-              for (int node = 0; node < site.nodes(); node++) {
+              for (int node = 0; node < spec.nodes(); node++) {
                 cluster.cut(ClusterSpec.nodeName(node), worker.machine().id().text(), 30, true);
               }
             });
     cluster.time().runUntil(50);
     cluster.stopFor(cluster.leader(), downS);
     cluster.time().at(62, () -> cluster.stopFor(Math.max(0, cluster.leader()), downS));
-    cluster.time().runUntil(62 + 3 * site.workers().lease().seconds() + 20);
+    cluster.time().runUntil(62 + 3 * spec.workers().lease().seconds() + 20);
     assertEquals(36, replicas());
     gone.forEach(machine -> assertFalse(isInShard(machine), "still in a shard: " + machine));
     assertWorkCompletesAndReplicasRun(190);
--- a/src/test/java/org/quincecross/emulator/FastRestartTest.java
+++ b/src/test/java/org/quincecross/emulator/FastRestartTest.java
@@ -66,7 +66,7 @@
     int leader = cluster.leader();
     cluster.crash(leader);
     for (int i = 0; i < times; i++) {
-      int node = (leader + 1 + i % 2) % site.nodes();
+      int node = (leader + 1 + i % 2) % spec.nodes();
       cluster.time().at(30 + after + 0.6 * i, () -> restartAtOnce(node, 0.1 + 0.1 * node));
     }
     cluster.time().runUntil(30 + after + 25);
@@ -82,7 +82,7 @@
     cluster.time().runUntil(30);
     int leader = cluster.leader();
     for (int again = 0; again < 2; again++) {
-      for (int node = 0; node < site.nodes(); node++) {
+      for (int node = 0; node < spec.nodes(); node++) {
         int each = node;
         if (all || each == leader) {
           cluster.time().at(30.1 + again * 0.7, () -> restartAtOnce(each, seconds));
@@ -111,7 +111,7 @@
   void keepsRulesWithRestartsDuringTakeover(double after, boolean taker) {
     cluster.time().runUntil(30);
     int leader = cluster.leader();
-    int lost = (leader + 1) % site.nodes();
+    int lost = (leader + 1) % spec.nodes();
     cluster.stopFor(lost, 20);
     boolean[] hit = new boolean[1];
     cluster.injectFaultAt(
@@ -124,7 +124,7 @@
             cluster
                 .time()
                 .after(
-                    after, () -> restartAtOnce(taker ? (leader + 2) % site.nodes() : leader, 0.2));
+                    after, () -> restartAtOnce(taker ? (leader + 2) % spec.nodes() : leader, 0.2));
           }
           return false;
         },
@@ -182,7 +182,7 @@
   @ValueSource(booleans = {false, true})
   void lateAnnouncementOfFormerProcessIsReplaced(boolean leads) {
     cluster.time().runUntil(30);
-    int node = (cluster.leader() + (leads ? 0 : 1)) % site.nodes();
+    int node = (cluster.leader() + (leads ? 0 : 1)) % spec.nodes();
     String key = "q/member/" + ClusterSpec.nodeName(node);
     Object present = cluster.state().value(key);
     Map<String, Object> former = new TreeMap<>();
--- a/src/test/java/org/quincecross/emulator/FleetFailuresTest.java
+++ b/src/test/java/org/quincecross/emulator/FleetFailuresTest.java
@@ -42,7 +42,7 @@
   @Test
   void restartsWhileReadingRecords() {
     for (int i = 0; i < 3; i++) {
-      for (int node = 0; node < site.nodes(); node++) {
+      for (int node = 0; node < spec.nodes(); node++) {
         int each = node;
         cluster.time().at(12 + 0.012 * i, () -> cluster.crash(each));
       }
@@ -96,7 +96,7 @@
     cluster.time().at(25, () -> cluster.memoryIsShort(true));
     JobId late = new JobId("job-77");
     cluster.time().at(26, () -> cluster.users().submit(oneTask(late)));
-    for (int node = 0; node < site.nodes(); node++) {
+    for (int node = 0; node < spec.nodes(); node++) {
       int each = node;
       cluster.time().at(28, () -> cluster.crash(each)); // each controller reads all records again
     }
--- a/src/test/java/org/quincecross/emulator/IdleCapacityInvariantTest.java
+++ b/src/test/java/org/quincecross/emulator/IdleCapacityInvariantTest.java
@@ -25,7 +25,7 @@
   private static final double MAX_WAIT_S = 90;
 
   /** More work than there is room for. */
-  private final ClusterSpec site =
+  private final ClusterSpec spec =
       ClusterSpec.tryOut(MACHINES, true)
           .with(
               Map.of(
@@ -64,9 +64,9 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void noJobWaitsBehindLongWorkWhileOthersAreIdle(long seed) {
-    SimulatedCluster cluster = new SimulatedCluster(site, seed, Meter.OFF);
+    SimulatedCluster cluster = new SimulatedCluster(spec, seed, Meter.OFF);
     for (int i = 0; i < 4 * MACHINES; i++) {
-      submit(cluster, 10, 1000 + i, site.zones().get(i % 3), i % 3 == 0 ? 300 : 30);
+      submit(cluster, 10, 1000 + i, spec.zones().get(i % 3), i % 3 == 0 ? 300 : 30);
     }
     for (int i = 0; i < 40; i++) {
       submit(cluster, 16, 2000 + i, null, 200);
--- a/src/test/java/org/quincecross/emulator/LeaderChangesTest.java
+++ b/src/test/java/org/quincecross/emulator/LeaderChangesTest.java
@@ -36,7 +36,7 @@
   /** From the end of a job's last task, or of the fault, until its user has been told. */
   private static final double MAX_REPORT_DELAY_S = 7;
 
-  private final ClusterSpec site =
+  private final ClusterSpec spec =
       ClusterSpec.tryOut(30, true)
           .with(
               Map.of(
@@ -44,7 +44,7 @@
                   new Team("long", new Resources(CPUS, 0, 1e9), new Resources(LIMIT_CPUS, 0, 1e9)),
                   "web",
                   new Team("web", new Resources(80, 0, 1e9), new Resources(120, 0, 1e9))));
-  private final SimulatedCluster cluster = new SimulatedCluster(site, 11, Meter.OFF);
+  private final SimulatedCluster cluster = new SimulatedCluster(spec, 11, Meter.OFF);
   private final Random random = new Random(11);
   private final Map<JobId, Integer> endedTasks = new LinkedHashMap<>();
   private final Map<JobId, Double> lastTaskEnd = new HashMap<>();
@@ -287,7 +287,7 @@
               for (AgentSimulator worker : cluster.cloud().workers()) {
                 for (int node = 0; node < cluster.nodeCount(); node++) {
                   if (node != former
-                      && worker.machine().zone().equals(site.nodeZones().get(former))) {
+                      && worker.machine().zone().equals(spec.nodeZones().get(former))) {
                     cluster.cut(
                         ClusterSpec.nodeName(node),
                         worker.machine().id().text(),
--- a/src/test/java/org/quincecross/emulator/LeadershipGuardTest.java
+++ b/src/test/java/org/quincecross/emulator/LeadershipGuardTest.java
@@ -64,7 +64,7 @@
                             .priority(Priority.NORMAL)
                             .taskCount(1)
                             .taskResources(new Resources(2, 0, 2))
-                            .zone(cluster.site().nodeZones().get(cluster.leader()))
+                            .zone(cluster.spec().nodeZones().get(cluster.leader()))
                             .image("img-1")
                             .imageGb(1)
                             .estimate(TimeSpan.ofSeconds(60))
--- a/src/test/java/org/quincecross/emulator/LegalHoldCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/LegalHoldCasesTest.java
@@ -50,7 +50,7 @@
   /** By then the level has risen to that of replicated records. */
   private static final double START_S = 42;
 
-  private LegalHoldCluster site = new LegalHoldCluster(JOBS, 30, 7);
+  private LegalHoldCluster testCluster = new LegalHoldCluster(JOBS, 30, 7);
 
   LegalHoldCasesTest() throws MalformedMessageException {
     declareSweeps();
@@ -58,13 +58,13 @@
 
   /** Half of each sweep's tasks access March, the others April. */
   private void declareSweeps() {
-    site.declareSweepsWithClaims("sweep", "cdr", "0-11", MARCH, "12-23", "cdr/2026-04");
+    testCluster.declareSweepsWithClaims("sweep", "cdr", "0-11", MARCH, "12-23", "cdr/2026-04");
   }
 
   private LegalHoldCluster site(long seed) throws MalformedMessageException {
-    site = new LegalHoldCluster(JOBS, 30, seed);
+    testCluster = new LegalHoldCluster(JOBS, 30, seed);
     declareSweeps();
-    return site;
+    return testCluster;
   }
 
   /**
@@ -72,25 +72,28 @@
    * completes.
    */
   private void assertHeldAndThenDone(String reference, int opening, double untilS, double doneByS) {
-    site.run(untilS);
-    assertEquals("PINNED", site.state(reference));
+    testCluster.run(untilS);
+    assertEquals("PINNED", testCluster.state(reference));
     assertTrue(
-        site.sweeps().stream().anyMatch(id -> site.cluster.invariants().completedTasks(id) == 12),
+        testCluster.sweeps().stream()
+            .anyMatch(id -> testCluster.cluster.invariants().completedTasks(id) == 12),
         "something was kept back");
     assertTrue(
-        site.sweeps().stream().allMatch(id -> site.cluster.invariants().completedTasks(id) >= 12),
+        testCluster.sweeps().stream()
+            .allMatch(id -> testCluster.cluster.invariants().completedTasks(id) >= 12),
         "the rest runs");
-    site.close(1, reference, "close-" + reference + opening, opening);
-    site.run(doneByS);
-    site.assertAllDone();
+    testCluster.close(1, reference, "close-" + reference + opening, opening);
+    testCluster.run(doneByS);
+    testCluster.assertAllDone();
   }
 
   /** Half of each sweep's tasks access held records: these wait, and the others run. */
   @Test
   void onlyTasksThatAccessHeldRecordsWait() {
-    site.at(START_S + 2, () -> site.open(0, "ref-1", "r1", "cdr/2026-03-10..2026-03-12"));
+    testCluster.at(
+        START_S + 2, () -> testCluster.open(0, "ref-1", "r1", "cdr/2026-03-10..2026-03-12"));
     assertHeldAndThenDone("ref-1", 1, 140, 260);
-    site.assertPinnedWithin("ref-1", 5);
+    testCluster.assertPinnedWithin("ref-1", 5);
   }
 
   /**
@@ -104,14 +107,14 @@
     for (int i = 0; i < 8; i++) {
       String reference = "ref-" + i;
       // The sweeps are submitted at 4, 10, 16 seconds and so on.
-      site.at(
+      testCluster.at(
           46 + 6 * (i % 4) + 0.03 * seed + 0.12 * i,
-          () -> site.open((int) seed % 3, reference, "r-" + reference, MARCH));
-      site.at(90, () -> site.close(1, reference, "c-" + reference, 1));
+          () -> testCluster.open((int) seed % 3, reference, "r-" + reference, MARCH));
+      testCluster.at(90, () -> testCluster.close(1, reference, "c-" + reference, 1));
     }
-    site.run(260);
-    assertEquals(8, site.pinnedCount());
-    site.assertAllDone();
+    testCluster.run(260);
+    assertEquals(8, testCluster.pinnedCount());
+    testCluster.assertAllDone();
   }
 
   /**
@@ -121,18 +124,18 @@
   @ParameterizedTest
   @EnumSource(SimulatedCluster.SendFault.class)
   void reopenedHoldIsPinnedDespiteLeaderFault(SimulatedCluster.SendFault fault) {
-    site.at(
+    testCluster.at(
         START_S + 1,
         () ->
-            site.cluster.injectFaultAt(
+            testCluster.cluster.injectFaultAt(
                 request -> request.startsWith("POST /txn") && request.contains("\"PINNED\""),
                 25,
                 fault));
-    site.at(START_S + 2, () -> site.open(0, "ref-1", "r1", MARCH));
-    site.at(START_S + 14, () -> site.close(2, "ref-1", "c1", 1));
-    site.at(START_S + 16, () -> site.open(1, "ref-1", "r2", MARCH));
+    testCluster.at(START_S + 2, () -> testCluster.open(0, "ref-1", "r1", MARCH));
+    testCluster.at(START_S + 14, () -> testCluster.close(2, "ref-1", "c1", 1));
+    testCluster.at(START_S + 16, () -> testCluster.open(1, "ref-1", "r2", MARCH));
     assertHeldAndThenDone("ref-1", 2, 150, 300);
-    assertTrue(site.cluster.faultedController() >= 0);
+    assertTrue(testCluster.cluster.faultedController() >= 0);
   }
 
   /**
@@ -143,23 +146,26 @@
   void repeatedRequestOpensHoldOnce() {
     for (int i = 0; i < 3; i++) {
       int node = i;
-      site.at(
+      testCluster.at(
           START_S + 2 + i * 0.02,
           () -> {
-            site.open(node, "ref-1", "r1", MARCH);
-            site.cluster.time().after(0.012, () -> site.cluster.stopFor(node, 4 + node));
+            testCluster.open(node, "ref-1", "r1", MARCH);
+            testCluster
+                .cluster
+                .time()
+                .after(0.012, () -> testCluster.cluster.stopFor(node, 4 + node));
           });
     }
-    site.at(START_S + 40, () -> site.close(0, "ref-1", "c1", 1));
+    testCluster.at(START_S + 40, () -> testCluster.close(0, "ref-1", "c1", 1));
     for (int i = 0; i < 3; i++) {
       int node = i;
-      site.at(START_S + 50 + 15 * i, () -> site.open(node, "ref-1", "r1", MARCH));
+      testCluster.at(START_S + 50 + 15 * i, () -> testCluster.open(node, "ref-1", "r1", MARCH));
     }
-    site.run(START_S + 110);
-    assertEquals("CLOSED", site.state("ref-1"));
-    assertEquals(1, site.opening("ref-1"));
-    site.run(300);
-    site.assertAllDone();
+    testCluster.run(START_S + 110);
+    assertEquals("CLOSED", testCluster.state("ref-1"));
+    assertEquals(1, testCluster.opening("ref-1"));
+    testCluster.run(300);
+    testCluster.assertAllDone();
   }
 
   /**
@@ -168,20 +174,20 @@
    */
   @Test
   void lateClosingDoesNotAffectLaterOpening() {
-    site.at(START_S + 2, () -> site.open(0, "ref-1", "r1", MARCH));
-    site.at(START_S + 10, () -> site.close(0, "ref-1", "c1", 1));
-    site.at(START_S + 12, () -> site.open(1, "ref-1", "r2", MARCH));
+    testCluster.at(START_S + 2, () -> testCluster.open(0, "ref-1", "r1", MARCH));
+    testCluster.at(START_S + 10, () -> testCluster.close(0, "ref-1", "c1", 1));
+    testCluster.at(START_S + 12, () -> testCluster.open(1, "ref-1", "r2", MARCH));
     for (int i = 0; i < 5; i++) {
       String request = "late-" + i;
-      site.at(START_S + 12.01 + i * i, () -> site.close(2, "ref-1", request, 1));
+      testCluster.at(START_S + 12.01 + i * i, () -> testCluster.close(2, "ref-1", request, 1));
     }
-    site.at(START_S + 20, () -> site.close(2, "ref-1", "ahead", 3));
+    testCluster.at(START_S + 20, () -> testCluster.close(2, "ref-1", "ahead", 3));
     assertHeldAndThenDone("ref-1", 2, 140, 280);
     assertTrue(
-        site.answers.get("late-4").startsWith("200")
-            && site.answers.get("late-4").contains("later one"),
-        site.answers.toString());
-    assertTrue(site.answers.get("ahead").startsWith("409"), site.answers.toString());
+        testCluster.answers.get("late-4").startsWith("200")
+            && testCluster.answers.get("late-4").contains("later one"),
+        testCluster.answers.toString());
+    assertTrue(testCluster.answers.get("ahead").startsWith("409"), testCluster.answers.toString());
   }
 
   @Test
@@ -190,15 +196,17 @@
       String reference = "ref-" + i;
       int node = i % 3;
       String records = i % 2 == 0 ? MARCH : "cdr/2025-" + String.format("%02d", 1 + i % 12);
-      site.at(START_S + i * 0.12, () -> site.open(node, reference, "r-" + i(reference), records));
+      testCluster.at(
+          START_S + i * 0.12,
+          () -> testCluster.open(node, reference, "r-" + i(reference), records));
     }
-    site.run(START_S + 150);
-    assertEquals(500, site.pinnedCount());
+    testCluster.run(START_S + 150);
+    assertEquals(500, testCluster.pinnedCount());
     for (int i = 0; i < 500; i++) {
-      site.close(i % 3, "ref-" + i, "c-" + i, 1);
+      testCluster.close(i % 3, "ref-" + i, "c-" + i, 1);
     }
-    site.run(START_S + 400);
-    site.assertAllDone();
+    testCluster.run(START_S + 400);
+    testCluster.assertAllDone();
   }
 
   private static String i(String reference) {
@@ -212,25 +220,25 @@
   @ParameterizedTest
   @ValueSource(strings = {"outage", "roll", "zone", "lone", "deaf", "all down"})
   void holdIsPinnedDuringFaults(String fault) {
-    site.at(
+    testCluster.at(
         START_S + 1,
         () -> {
           switch (fault) {
-            case "outage" -> site.cluster.state().outage(20);
-            case "roll" -> site.replaceAll();
-            case "zone" -> site.cutZone(0, 40);
-            case "lone" -> site.isolate((site.cluster.leader() + 1) % 3, 40);
-            case "deaf" -> site.dropInbound(5, 40);
+            case "outage" -> testCluster.cluster.state().outage(20);
+            case "roll" -> testCluster.replaceAll();
+            case "zone" -> testCluster.cutZone(0, 40);
+            case "lone" -> testCluster.isolate((testCluster.cluster.leader() + 1) % 3, 40);
+            case "deaf" -> testCluster.dropInbound(5, 40);
             default -> {
               for (int node = 0; node < 3; node++) {
-                site.cluster.stopFor(node, 3 + node);
+                testCluster.cluster.stopFor(node, 3 + node);
               }
             }
           }
         });
-    site.at(START_S + 1.2, () -> site.open(0, "ref-1", "r1", MARCH));
+    testCluster.at(START_S + 1.2, () -> testCluster.open(0, "ref-1", "r1", MARCH));
     assertHeldAndThenDone("ref-1", 1, 170, 330);
-    site.assertPinnedWithin("ref-1", 60);
+    testCluster.assertPinnedWithin("ref-1", 60);
   }
 
   /**
@@ -241,17 +249,17 @@
   @ValueSource(doubles = {0, 0.9, -0.9, -20})
   void futureHoldIsInForceInTimeDespiteRestartAndClockStep(double step) {
     double from = START_S + 20;
-    site.at(START_S + 2, () -> site.openFrom(0, "ref-1", "r1", from, MARCH));
-    site.at(from - 8, () -> site.cluster.setClock(step));
+    testCluster.at(START_S + 2, () -> testCluster.openFrom(0, "ref-1", "r1", from, MARCH));
+    testCluster.at(from - 8, () -> testCluster.cluster.setClock(step));
     if (step > -1) {
-      site.at(from - 7, () -> site.cluster.crash(1));
-      site.at(from - 3.5, () -> site.cluster.crash(2));
+      testCluster.at(from - 7, () -> testCluster.cluster.crash(1));
+      testCluster.at(from - 3.5, () -> testCluster.cluster.crash(2));
     }
-    site.at(from - 0.5, () -> site.cluster.state().outage(8));
-    site.run(from - 3);
-    assertEquals("FUTURE", site.state("ref-1"));
-    site.run(from + 30);
-    assertEquals(List.of(), site.startedAfter(from + 1.5, MARCH));
+    testCluster.at(from - 0.5, () -> testCluster.cluster.state().outage(8));
+    testCluster.run(from - 3);
+    assertEquals("FUTURE", testCluster.state("ref-1"));
+    testCluster.run(from + 30);
+    assertEquals(List.of(), testCluster.startedAfter(from + 1.5, MARCH));
     assertHeldAndThenDone("ref-1", 1, 170, 330);
   }
 
@@ -271,17 +279,17 @@
     for (int i = 0; i < records.size(); i++) {
       String reference = "ref-" + i;
       String each = records.get(i);
-      site.at(
+      testCluster.at(
           START_S + 2 + 10 * random.nextDouble(),
-          () -> site.open(random.nextInt(3), reference, "r" + reference, each));
-      site.at(
+          () -> testCluster.open(random.nextInt(3), reference, "r" + reference, each));
+      testCluster.at(
           START_S + 40 + 10 * order.get(i),
-          () -> site.close(random.nextInt(3), reference, "c" + reference, 1));
+          () -> testCluster.close(random.nextInt(3), reference, "c" + reference, 1));
     }
-    site.run(START_S + 38);
-    assertEquals(6, site.pinnedCount());
-    site.run(330);
-    site.assertAllDone();
+    testCluster.run(START_S + 38);
+    assertEquals(6, testCluster.pinnedCount());
+    testCluster.run(330);
+    testCluster.assertAllDone();
   }
 
   /**
@@ -290,29 +298,30 @@
    */
   @Test
   void laneDeclaredLateIsPinnedAgain() throws MalformedMessageException {
-    site = new LegalHoldCluster(JOBS, 30, 7);
-    site.at(START_S + 2, () -> site.open(0, "ref-1", "r1", MARCH));
-    site.run(START_S + 12);
-    assertEquals("PINNED", site.state("ref-1"));
-    site.cluster
+    testCluster = new LegalHoldCluster(JOBS, 30, 7);
+    testCluster.at(START_S + 2, () -> testCluster.open(0, "ref-1", "r1", MARCH));
+    testCluster.run(START_S + 12);
+    assertEquals("PINNED", testCluster.state("ref-1"));
+    testCluster
+        .cluster
         .time()
         .at(
             START_S + 13,
             () ->
-                site.sendUntilDecided(
+                testCluster.sendUntilDecided(
                     0, "sweeps", "sweep", "late", Map.of("series", List.of("cdr"))));
-    site.run(START_S + 60);
-    assertEquals("PINNED", site.state("ref-1"));
+    testCluster.run(START_S + 60);
+    assertEquals("PINNED", testCluster.state("ref-1"));
     assertEquals(
         1,
-        site.widened("ref-1"),
-        site.answers + " " + site.cluster.state().value("q/agreed/holds/ref-1"));
+        testCluster.widened("ref-1"),
+        testCluster.answers + " " + testCluster.cluster.state().value("q/agreed/holds/ref-1"));
     assertEquals(
         0,
-        site.sweeps().stream().mapToInt(site.cluster.invariants()::onMachines).sum(),
+        testCluster.sweeps().stream().mapToInt(testCluster.cluster.invariants()::onMachines).sum(),
         "sweeps without claims touch all of their series");
-    site.close(0, "ref-1", "c1", 1);
-    site.run(300);
-    site.assertAllDone();
+    testCluster.close(0, "ref-1", "c1", 1);
+    testCluster.run(300);
+    testCluster.assertAllDone();
   }
 }
--- a/src/test/java/org/quincecross/emulator/LegalHoldCluster.java
+++ b/src/test/java/org/quincecross/emulator/LegalHoldCluster.java
@@ -40,12 +40,12 @@
   final Map<String, String> answers = new HashMap<>();
 
   LegalHoldCluster(String jobs, int machines, long seed) throws MalformedMessageException {
-    ClusterSpec site = ClusterSpec.tryOut(machines, true);
+    ClusterSpec spec = ClusterSpec.tryOut(machines, true);
     Build build = Build.present("holds", Feature.AGREED_RECORDS.since().number());
     cluster =
         new SimulatedCluster(
-            site, seed, Meter.OFF, new Features(null, null, build, Map.of("holds", Map.of())));
-    for (WorkloadFile.ScheduledJob due : WorkloadFile.read(jobs, site)) {
+            spec, seed, Meter.OFF, new Features(null, null, build, Map.of("holds", Map.of())));
+    for (WorkloadFile.ScheduledJob due : WorkloadFile.read(jobs, spec)) {
       cluster.time().at(4 + due.atS(), () -> cluster.users().submit(due.job()));
       (due.job().jobClass().equals("front") ? services : sweeps).add(due.job().id());
     }
@@ -201,7 +201,7 @@
         .workers()
         .forEach(
             worker -> {
-              boolean inside = worker.machine().zone().equals(cluster.site().zones().get(zone));
+              boolean inside = worker.machine().zone().equals(cluster.spec().zones().get(zone));
               for (int node = 0; node < cluster.nodeCount(); node++) {
                 if ((node == zone) != inside) {
                   cluster.cut(
--- a/src/test/java/org/quincecross/emulator/LegalHoldSeedsTest.java
+++ b/src/test/java/org/quincecross/emulator/LegalHoldSeedsTest.java
@@ -35,30 +35,32 @@
     List<Double> times = new ArrayList<>();
     for (long seed = 0; seed < SEEDS; seed++) {
       Random random = new Random(seed);
-      LegalHoldCluster site = new LegalHoldCluster(LegalHoldCasesTest.JOBS, 30, seed);
-      site.declareSweepsWithClaims("sweep", "cdr", "0-11", "cdr/2026-03", "12-23", "cdr/2026-04");
-      site.cluster.state().applyLate(40);
+      LegalHoldCluster testCluster = new LegalHoldCluster(LegalHoldCasesTest.JOBS, 30, seed);
+      testCluster.declareSweepsWithClaims(
+          "sweep", "cdr", "0-11", "cdr/2026-03", "12-23", "cdr/2026-04");
+      testCluster.cluster.state().applyLate(40);
       double at = START_S + 2 + 10 * random.nextDouble();
-      site.at(at - 0.5 + random.nextDouble(), () -> injectFault(site, fault, random));
+      testCluster.at(at - 0.5 + random.nextDouble(), () -> injectFault(testCluster, fault, random));
       List<String> records = List.of("cdr/2026-03", "cdr", "cdr/2026-04-05");
       for (int i = 0; i < records.size(); i++) {
         String reference = "ref-" + i;
         String each = records.get(i);
-        site.at(
+        testCluster.at(
             at + 2 * i * random.nextDouble(),
-            () -> site.open(random.nextInt(3), reference, "o" + reference, each));
-        site.at(
+            () -> testCluster.open(random.nextInt(3), reference, "o" + reference, each));
+        testCluster.at(
             at + 70 + 20 * random.nextDouble(),
-            () -> site.close(random.nextInt(3), reference, "c" + reference, 1));
+            () -> testCluster.close(random.nextInt(3), reference, "c" + reference, 1));
       }
-      site.run(at + 69);
+      testCluster.run(at + 69);
       for (int i = 0; i < records.size(); i++) {
-        Double after = site.pinnedAfter("ref-" + i, 1);
-        assertTrue(after != null, "seed " + seed + " ref-" + i + " is " + site.state("ref-" + i));
+        Double after = testCluster.pinnedAfter("ref-" + i, 1);
+        assertTrue(
+            after != null, "seed " + seed + " ref-" + i + " is " + testCluster.state("ref-" + i));
         times.add(after);
       }
-      site.run(380);
-      site.assertAllDone();
+      testCluster.run(380);
+      testCluster.assertAllDone();
     }
     Collections.sort(times);
     System.out.printf(
@@ -71,19 +73,20 @@
     assertEquals(3 * SEEDS, times.size());
   }
 
-  private static void injectFault(LegalHoldCluster site, String fault, Random random) {
+  private static void injectFault(LegalHoldCluster testCluster, String fault, Random random) {
     int node = random.nextInt(3);
     double length = 20 + 20 * random.nextDouble();
     switch (fault) {
-      case "controller cut off" -> site.isolate(node, length);
-      case "zone cut off" -> site.cutZone(node, length);
-      case "machines deaf" -> site.dropInbound(8, length);
-      case "state service out" -> site.cluster.state().outage(length / 2);
+      case "controller cut off" -> testCluster.isolate(node, length);
+      case "zone cut off" -> testCluster.cutZone(node, length);
+      case "machines deaf" -> testCluster.dropInbound(8, length);
+      case "state service out" -> testCluster.cluster.state().outage(length / 2);
       case "crashes" -> {
-        site.cluster.crash(node);
-        site.cluster
+        testCluster.cluster.crash(node);
+        testCluster
+            .cluster
             .time()
-            .after(random.nextDouble() * 3, () -> site.cluster.crash((node + 1) % 3));
+            .after(random.nextDouble() * 3, () -> testCluster.cluster.crash((node + 1) % 3));
       }
       default -> {}
     }
--- a/src/test/java/org/quincecross/emulator/LocalClusterTest.java
+++ b/src/test/java/org/quincecross/emulator/LocalClusterTest.java
@@ -246,7 +246,7 @@
   /** Errors in a jobs file name the line and the field. */
   @Test
   void reportsErrorsInJobsFile() {
-    ClusterSpec site = ClusterSpec.tryOut(9, false);
+    ClusterSpec spec = ClusterSpec.tryOut(9, false);
     Stream.of(
             new String[] {
               "tasks = 2", "tasks = 0", "line 7: field tasks is not a whole number from 1 to 100000"
@@ -292,7 +292,7 @@
                       MalformedMessageException.class,
                       () ->
                           WorkloadFile.read(
-                              JOBS.replaceFirst(each[0].replace("[", "\\["), each[1]), site));
+                              JOBS.replaceFirst(each[0].replace("[", "\\["), each[1]), spec));
               assertTrue(e.getMessage().startsWith(each[2]), e.getMessage());
             });
   }
--- a/src/test/java/org/quincecross/emulator/MachineLossTest.java
+++ b/src/test/java/org/quincecross/emulator/MachineLossTest.java
@@ -48,10 +48,10 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void allReplicasRunAgainSoonAfterLeaseExpiry(long seed) throws MalformedMessageException {
-    ClusterSpec site = ClusterSpec.tryOut(MACHINES, true);
-    SimulatedCluster cluster = new SimulatedCluster(site, seed, Meter.OFF);
+    ClusterSpec spec = ClusterSpec.tryOut(MACHINES, true);
+    SimulatedCluster cluster = new SimulatedCluster(spec, seed, Meter.OFF);
     List<JobId> services = new ArrayList<>();
-    for (WorkloadFile.ScheduledJob due : WorkloadFile.read(JOBS, site)) {
+    for (WorkloadFile.ScheduledJob due : WorkloadFile.read(JOBS, spec)) {
       cluster.time().at(6 + due.atS(), () -> cluster.users().submit(due.job()));
       if (due.job().jobClass().equals("front")) {
         services.add(due.job().id());
--- a/src/test/java/org/quincecross/emulator/ModelServingCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/ModelServingCasesTest.java
@@ -26,24 +26,26 @@
    * Sends 10,000 wake requests per second to each controller until the model is warm; all are
    * answered. Returns how long that took.
    */
-  private static double wakeUntilWarm(ModelServingCluster site) throws MalformedMessageException {
+  private static double wakeUntilWarm(ModelServingCluster testCluster)
+      throws MalformedMessageException {
     int[] answered = new int[1];
     for (int node = 0; node < 3; node++) {
       for (int i = 0; i < 10_000; i++) {
         int each = node;
-        site.cluster
+        testCluster
+            .cluster
             .time()
             .at(
                 START_S + i / 10_000.0,
                 () ->
-                    site.send(
+                    testCluster.send(
                         each,
                         "m/wake",
                         Map.of(),
                         response -> answered[0] += response.status() < 300 ? 1 : 0));
       }
     }
-    double warmAt = site.timeWhenIn("m", "WARM", 60);
+    double warmAt = testCluster.timeWhenIn("m", "WARM", 60);
     assertEquals(30_000, answered[0]);
     return warmAt - START_S;
   }
@@ -56,12 +58,12 @@
   void modelServesSoonAfterItsFetch() throws MalformedMessageException {
     double[] warm = new double[5];
     for (int i = 0; i < warm.length; i++) {
-      ModelServingCluster site = ModelServingCluster.withOne(4 + i, 2);
-      long before = site.epoch("m");
-      warm[i] = wakeUntilWarm(site);
+      ModelServingCluster testCluster = ModelServingCluster.withOne(4 + i, 2);
+      long before = testCluster.epoch("m");
+      warm[i] = wakeUntilWarm(testCluster);
       assertTrue(
-          site.epoch("m") <= before + 5,
-          "however many wakes, few changes: " + (site.epoch("m") - before));
+          testCluster.epoch("m") <= before + 5,
+          "however many wakes, few changes: " + (testCluster.epoch("m") - before));
       assertTrue(
           warm[i] > ModelServingCluster.FETCH_S && warm[i] < ModelServingCluster.FETCH_S + 9,
           "warm after " + warm[i]);
@@ -76,27 +78,27 @@
    */
   @Test
   void manyWakesCauseOneColdStart() throws MalformedMessageException {
-    ModelServingCluster site = ModelServingCluster.withOne(4, 2);
-    long before = site.epoch("m");
-    int started = site.cluster.environment().coldStarts().starts();
-    int fetched = site.cluster.environment().coldStarts().fetches();
-    double warm = wakeUntilWarm(site);
+    ModelServingCluster testCluster = ModelServingCluster.withOne(4, 2);
+    long before = testCluster.epoch("m");
+    int started = testCluster.cluster.environment().coldStarts().starts();
+    int fetched = testCluster.cluster.environment().coldStarts().fetches();
+    double warm = wakeUntilWarm(testCluster);
     assertTrue(
         warm > ModelServingCluster.FETCH_S && warm < ModelServingCluster.FETCH_S + 4,
         "warm after " + warm);
     for (int node = 0; node < 3; node++) {
       assertTrue(
-          site.requestedChanges(node) <= 3,
-          "changes asked for by one controller: " + site.requestedChanges(node));
+          testCluster.requestedChanges(node) <= 3,
+          "changes asked for by one controller: " + testCluster.requestedChanges(node));
     }
-    assertEquals(0, site.cluster.environment().coldStarts().lateStarts());
-    assertEquals(2, site.onMachines(100));
-    assertEquals(before + 3, site.epoch("m"), "woken, chosen, ready");
-    assertEquals(2, site.cluster.environment().coldStarts().starts() - started);
-    assertEquals(2, site.cluster.environment().coldStarts().fetches() - fetched);
-    site.timeWhenIn("m", "ZERO", 60);
-    assertEquals(0, site.onMachines(100));
-    site.assertRulesKept();
+    assertEquals(0, testCluster.cluster.environment().coldStarts().lateStarts());
+    assertEquals(2, testCluster.onMachines(100));
+    assertEquals(before + 3, testCluster.epoch("m"), "woken, chosen, ready");
+    assertEquals(2, testCluster.cluster.environment().coldStarts().starts() - started);
+    assertEquals(2, testCluster.cluster.environment().coldStarts().fetches() - fetched);
+    testCluster.timeWhenIn("m", "ZERO", 60);
+    assertEquals(0, testCluster.onMachines(100));
+    testCluster.assertRulesKept();
   }
 
   /**
@@ -106,16 +108,16 @@
   @ParameterizedTest
   @ValueSource(doubles = {0.01, 0.05, 0.15, 0.4, 1, 4, 8.5})
   void coldStartSurvivesRestartOfAllControllers(double afterS) throws MalformedMessageException {
-    ModelServingCluster site = ModelServingCluster.withOne(5, 2);
-    site.wakeAt(START_S, 1, "m");
+    ModelServingCluster testCluster = ModelServingCluster.withOne(5, 2);
+    testCluster.wakeAt(START_S, 1, "m");
     for (int node = 0; node < 3; node++) {
       int each = node;
-      site.cluster.time().at(START_S + afterS, () -> site.cluster.crash(each));
+      testCluster.cluster.time().at(START_S + afterS, () -> testCluster.cluster.crash(each));
     }
-    site.timeWhenIn("m", "WARM", 90);
-    assertEquals(2, site.onMachines(100));
-    assertEquals(0, site.cluster.environment().coldStarts().lateStarts());
-    site.assertRulesKept();
+    testCluster.timeWhenIn("m", "WARM", 90);
+    assertEquals(2, testCluster.onMachines(100));
+    assertEquals(0, testCluster.cluster.environment().coldStarts().lateStarts());
+    testCluster.assertRulesKept();
   }
 
   /**
@@ -132,8 +134,8 @@
   })
   void coldStartSurvivesSuspendedLeader(SimulatedCluster.SendFault fault, double seconds)
       throws MalformedMessageException {
-    ModelServingCluster site = ModelServingCluster.withOne(6, 2);
-    site.cluster.injectFaultAt(
+    ModelServingCluster testCluster = ModelServingCluster.withOne(6, 2);
+    testCluster.cluster.injectFaultAt(
         request ->
             request.startsWith("POST /txn")
                 && request.contains("agreed/models/m")
@@ -141,26 +143,26 @@
                 && request.contains("\"replica\""),
         seconds,
         fault);
-    site.wakeAt(START_S, (site.cluster.leader() + 1) % 3, "m");
-    site.timeWhenIn("m", "WARM", 90);
-    assertTrue(site.cluster.faultedController() >= 0);
-    site.cluster.time().runUntil(site.cluster.time().seconds() + 5);
-    assertEquals(2, site.onMachines(100));
-    site.assertRulesKept();
+    testCluster.wakeAt(START_S, (testCluster.cluster.leader() + 1) % 3, "m");
+    testCluster.timeWhenIn("m", "WARM", 90);
+    assertTrue(testCluster.cluster.faultedController() >= 0);
+    testCluster.cluster.time().runUntil(testCluster.cluster.time().seconds() + 5);
+    assertEquals(2, testCluster.onMachines(100));
+    testCluster.assertRulesKept();
   }
 
   /** Two wake requests while there is no leader, one at each of the remaining controllers. */
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.5, 3, 5.5})
   void wakesDuringElectionCauseOneColdStart(double afterS) throws MalformedMessageException {
-    ModelServingCluster site = ModelServingCluster.withOne(7, 2);
-    int leader = site.cluster.leader();
-    site.cluster.time().at(START_S, () -> site.cluster.stopFor(leader, 30));
-    site.wakeAt(START_S + afterS, (leader + 1) % 3, "m");
-    site.wakeAt(START_S + afterS, (leader + 2) % 3, "m");
-    site.timeWhenIn("m", "WARM", 90);
-    assertEquals(2, site.onMachines(100));
-    site.assertRulesKept();
+    ModelServingCluster testCluster = ModelServingCluster.withOne(7, 2);
+    int leader = testCluster.cluster.leader();
+    testCluster.cluster.time().at(START_S, () -> testCluster.cluster.stopFor(leader, 30));
+    testCluster.wakeAt(START_S + afterS, (leader + 1) % 3, "m");
+    testCluster.wakeAt(START_S + afterS, (leader + 2) % 3, "m");
+    testCluster.timeWhenIn("m", "WARM", 90);
+    assertEquals(2, testCluster.onMachines(100));
+    testCluster.assertRulesKept();
   }
 
   /** The state service is down for a while from some moment of a cold start on, and of a drain. */
@@ -168,17 +170,20 @@
   @CsvSource({"0, 3", "0.03, 10", "0.15, 10", "0.5, 10", "5, 10", "8.6, 10", "32, 10"})
   void recoversFromOutageInEachStep(double afterS, double seconds)
       throws MalformedMessageException {
-    ModelServingCluster site = ModelServingCluster.withOne(8, 2);
-    site.cluster.state().applyLate(60);
-    site.wakeAt(START_S, 2, "m");
-    site.cluster.time().at(START_S + afterS, () -> site.cluster.state().outage(seconds));
-    site.timeWhenIn("m", "WARM", 90);
-    site.timeWhenIn("m", "ZERO", 90);
-    site.cluster.time().runUntil(site.cluster.time().seconds() + 2);
-    assertEquals(0, site.onMachines(100));
-    site.wakeAt(site.cluster.time().seconds() + 0.1, 0, "m");
-    site.timeWhenIn("m", "WARM", 90);
-    site.assertRulesKept();
+    ModelServingCluster testCluster = ModelServingCluster.withOne(8, 2);
+    testCluster.cluster.state().applyLate(60);
+    testCluster.wakeAt(START_S, 2, "m");
+    testCluster
+        .cluster
+        .time()
+        .at(START_S + afterS, () -> testCluster.cluster.state().outage(seconds));
+    testCluster.timeWhenIn("m", "WARM", 90);
+    testCluster.timeWhenIn("m", "ZERO", 90);
+    testCluster.cluster.time().runUntil(testCluster.cluster.time().seconds() + 2);
+    assertEquals(0, testCluster.onMachines(100));
+    testCluster.wakeAt(testCluster.cluster.time().seconds() + 0.1, 0, "m");
+    testCluster.timeWhenIn("m", "WARM", 90);
+    testCluster.assertRulesKept();
   }
 
   /**
@@ -189,46 +194,51 @@
   @ValueSource(doubles = {0, 6, 30})
   void restartsElsewhereWhenLastMachineIsTerminated(double noticeS)
       throws MalformedMessageException {
-    ModelServingCluster site = ModelServingCluster.withOne(9, 1);
-    site.wakeAt(START_S, 0, "m");
-    site.timeWhenIn("m", "WARM", 60);
-    String machine = site.machine("m").text();
-    site.cluster
+    ModelServingCluster testCluster = ModelServingCluster.withOne(9, 1);
+    testCluster.wakeAt(START_S, 0, "m");
+    testCluster.timeWhenIn("m", "WARM", 60);
+    String machine = testCluster.machine("m").text();
+    testCluster
+        .cluster
         .time()
-        .at(START_S + 16, () -> site.cluster.cloud().terminate(new MachineId(machine), noticeS));
+        .at(
+            START_S + 16,
+            () -> testCluster.cluster.cloud().terminate(new MachineId(machine), noticeS));
     for (int i = 0; i < 60; i++) {
-      site.cluster
+      testCluster
+          .cluster
           .time()
           .at(
               START_S + 16 + i,
               () ->
-                  site.send(
+                  testCluster.send(
                       1, "m/load", Map.of("from", "gateway", "in_flight", 3), response -> {}));
     }
-    site.cluster.time().runUntil(START_S + 16 + 50);
-    assertEquals("WARM", site.phase("m"));
-    assertEquals(1, site.onMachines(100));
-    assertTrue(!machine.equals(site.machine("m").text()));
-    site.assertRulesKept();
+    testCluster.cluster.time().runUntil(START_S + 16 + 50);
+    assertEquals("WARM", testCluster.phase("m"));
+    assertEquals(1, testCluster.onMachines(100));
+    assertTrue(!machine.equals(testCluster.machine("m").text()));
+    testCluster.assertRulesKept();
   }
 
   /** Its user cancels the job of a model in each of its states. */
   @ParameterizedTest
   @ValueSource(strings = {"ZERO", "STARTING", "WARM", "DRAINING"})
   void modelOfCancelledJobEndsInEachState(String phase) throws MalformedMessageException {
-    ModelServingCluster site = ModelServingCluster.withOne(10, 2);
+    ModelServingCluster testCluster = ModelServingCluster.withOne(10, 2);
     if (!phase.equals("ZERO")) {
-      site.wakeAt(START_S, 0, "m");
-      site.timeWhenIn("m", phase, 90);
+      testCluster.wakeAt(START_S, 0, "m");
+      testCluster.timeWhenIn("m", phase, 90);
     }
-    site.cluster.users().cancel(new JobId("job-100"));
-    site.cluster.time().runUntil(site.cluster.time().seconds() + 30);
-    assertEquals("ZERO", site.phase("m"));
-    assertEquals(0, site.onMachines(100));
-    assertEquals("cancelled", site.cluster.users().reportedStates().get(new JobId("job-100")));
-    assertEquals(409, site.post(1, "m/wake", Map.of()));
-    assertEquals("ZERO", site.phase("m"));
-    site.assertRulesKept();
+    testCluster.cluster.users().cancel(new JobId("job-100"));
+    testCluster.cluster.time().runUntil(testCluster.cluster.time().seconds() + 30);
+    assertEquals("ZERO", testCluster.phase("m"));
+    assertEquals(0, testCluster.onMachines(100));
+    assertEquals(
+        "cancelled", testCluster.cluster.users().reportedStates().get(new JobId("job-100")));
+    assertEquals(409, testCluster.post(1, "m/wake", Map.of()));
+    assertEquals("ZERO", testCluster.phase("m"));
+    testCluster.assertRulesKept();
   }
 
   /**
@@ -243,16 +253,19 @@
     first.timeWhenIn("m", "WARM", 60);
     double drainAt = first.timeWhenIn("m", "DRAINING", 60);
     for (int node = 0; node < 3; node++) {
-      ModelServingCluster site = ModelServingCluster.withOne(11, 2);
-      site.wakeAt(START_S, 0, "m");
-      site.timeWhenIn("m", "WARM", 60);
-      site.wakeAt(drainAt + offset, node, "m");
-      site.cluster.time().runUntil(drainAt + 1.2);
-      site.timeWhenIn("m", "WARM", 20);
-      site.cluster.time().runUntil(Math.max(site.cluster.time().seconds(), drainAt + offset + 15));
-      assertEquals("WARM", site.phase("m"), "node " + node);
-      assertEquals(2, site.onMachines(100));
-      site.assertRulesKept();
+      ModelServingCluster testCluster = ModelServingCluster.withOne(11, 2);
+      testCluster.wakeAt(START_S, 0, "m");
+      testCluster.timeWhenIn("m", "WARM", 60);
+      testCluster.wakeAt(drainAt + offset, node, "m");
+      testCluster.cluster.time().runUntil(drainAt + 1.2);
+      testCluster.timeWhenIn("m", "WARM", 20);
+      testCluster
+          .cluster
+          .time()
+          .runUntil(Math.max(testCluster.cluster.time().seconds(), drainAt + offset + 15));
+      assertEquals("WARM", testCluster.phase("m"), "node " + node);
+      assertEquals(2, testCluster.onMachines(100));
+      testCluster.assertRulesKept();
     }
   }
 
@@ -265,53 +278,57 @@
     ClusterSpec plain = ClusterSpec.tryOut(24, true);
     Map<String, Team> teams = new LinkedHashMap<>(plain.teams());
     teams.put("web", new Team("web", new Resources(12, 0, 1e9), new Resources(20, 0, 1e9)));
-    ModelServingCluster site = new ModelServingCluster(plain.with(teams), 12);
-    site.submit(ModelServingCluster.job(100, 2, 6, 2, false));
-    site.submit(ModelServingCluster.job(101, 2, 6, 2, false));
-    site.cluster.time().runUntil(ModelServingCluster.DEFINED_S);
-    site.define("m", 100, 2, 2);
-    site.define("n", 101, 2, 2);
-    site.timeWhenIn("m", "ZERO", 40);
-    site.timeWhenIn("n", "ZERO", 40);
-    double at = site.cluster.time().seconds();
-    site.wakeAt(at + 1, 0, "m");
-    site.wakeAt(at + 1, 1, "n");
-    site.cluster.time().runUntil(at + 8);
+    ModelServingCluster testCluster = new ModelServingCluster(plain.with(teams), 12);
+    testCluster.submit(ModelServingCluster.job(100, 2, 6, 2, false));
+    testCluster.submit(ModelServingCluster.job(101, 2, 6, 2, false));
+    testCluster.cluster.time().runUntil(ModelServingCluster.DEFINED_S);
+    testCluster.define("m", 100, 2, 2);
+    testCluster.define("n", 101, 2, 2);
+    testCluster.timeWhenIn("m", "ZERO", 40);
+    testCluster.timeWhenIn("n", "ZERO", 40);
+    double at = testCluster.cluster.time().seconds();
+    testCluster.wakeAt(at + 1, 0, "m");
+    testCluster.wakeAt(at + 1, 1, "n");
+    testCluster.cluster.time().runUntil(at + 8);
     assertEquals(
         3,
-        site.onMachines(100) + site.onMachines(101),
+        testCluster.onMachines(100) + testCluster.onMachines(101),
         "three replicas of 6 cpus are within a limit of 20");
-    assertEquals("WARM", site.phase("m"));
-    assertEquals("WARM", site.phase("n"));
-    site.send(1, "n/load", Map.of("from", "gateway", "in_flight", 5), response -> {});
-    site.cluster.users().cancel(new JobId("job-100"));
-    site.cluster.time().runUntil(at + 30);
-    assertEquals(2, site.onMachines(101), "the remaining replicas start when there is room");
-    site.assertRulesKept();
+    assertEquals("WARM", testCluster.phase("m"));
+    assertEquals("WARM", testCluster.phase("n"));
+    testCluster.send(1, "n/load", Map.of("from", "gateway", "in_flight", 5), response -> {});
+    testCluster.cluster.users().cancel(new JobId("job-100"));
+    testCluster.cluster.time().runUntil(at + 30);
+    assertEquals(2, testCluster.onMachines(101), "the remaining replicas start when there is room");
+    testCluster.assertRulesKept();
   }
 
   /** Invalid requests are refused and change nothing; a repeated definition is one change. */
   @Test
   void invalidRequestsChangeNothing() throws MalformedMessageException {
-    ModelServingCluster site = ModelServingCluster.withOne(17, 2);
-    long epoch = site.epoch("m");
-    assertEquals(404, site.post(0, "other/wake", Map.of()));
-    assertEquals(404, site.post(0, "other", Map.of("job", "job-5", "request", "a")));
-    assertEquals(404, site.post(0, "m/sleep", Map.of()));
-    assertEquals(400, site.post(0, "m/wake", Map.of("now", true)));
-    assertEquals(400, site.post(0, "m/load", Map.of("from", "g", "in_flight", -1)));
-    assertEquals(400, site.post(0, "m/load", Map.of("in_flight", 1)));
+    ModelServingCluster testCluster = ModelServingCluster.withOne(17, 2);
+    long epoch = testCluster.epoch("m");
+    assertEquals(404, testCluster.post(0, "other/wake", Map.of()));
+    assertEquals(404, testCluster.post(0, "other", Map.of("job", "job-5", "request", "a")));
+    assertEquals(404, testCluster.post(0, "m/sleep", Map.of()));
+    assertEquals(400, testCluster.post(0, "m/wake", Map.of("now", true)));
+    assertEquals(400, testCluster.post(0, "m/load", Map.of("from", "g", "in_flight", -1)));
+    assertEquals(400, testCluster.post(0, "m/load", Map.of("in_flight", 1)));
     assertEquals(
-        400, site.post(0, "m", Map.of("job", "job-100", "least", 3, "most", 2, "request", "b")));
-    assertEquals(400, site.post(0, "m", Map.of("job", "job-100", "most", 5, "request", "c")));
-    assertEquals(400, site.post(0, "m", Map.of("job", "job-100", "request", " ")));
-    assertEquals(409, site.post(0, "n", Map.of("job", "job-100", "request", "d")));
-    assertEquals(epoch, site.epoch("m"));
-    assertEquals("ZERO", site.phase("m"));
-    assertEquals(200, site.post(1, "m", Map.of("job", "job-100", "most", 3, "request", "e")));
-    assertEquals(200, site.post(2, "m", Map.of("job", "job-100", "most", 3, "request", "e")));
-    assertEquals(epoch, site.epoch("m"));
-    site.assertRulesKept();
+        400,
+        testCluster.post(0, "m", Map.of("job", "job-100", "least", 3, "most", 2, "request", "b")));
+    assertEquals(
+        400, testCluster.post(0, "m", Map.of("job", "job-100", "most", 5, "request", "c")));
+    assertEquals(400, testCluster.post(0, "m", Map.of("job", "job-100", "request", " ")));
+    assertEquals(409, testCluster.post(0, "n", Map.of("job", "job-100", "request", "d")));
+    assertEquals(epoch, testCluster.epoch("m"));
+    assertEquals("ZERO", testCluster.phase("m"));
+    assertEquals(
+        200, testCluster.post(1, "m", Map.of("job", "job-100", "most", 3, "request", "e")));
+    assertEquals(
+        200, testCluster.post(2, "m", Map.of("job", "job-100", "most", 3, "request", "e")));
+    assertEquals(epoch, testCluster.epoch("m"));
+    testCluster.assertRulesKept();
   }
 
   /**
@@ -320,23 +337,24 @@
    */
   @Test
   void fetchesOnOneMachineAreSequential() throws MalformedMessageException {
-    ModelServingCluster site = new ModelServingCluster(ClusterSpec.tryOut(3, true), 18);
+    ModelServingCluster testCluster = new ModelServingCluster(ClusterSpec.tryOut(3, true), 18);
     for (int i = 0; i < 4; i++) {
-      site.submitAt(
+      testCluster.submitAt(
           ModelServingCluster.DEFINED_S - 0.5, ModelServingCluster.job(100 + i, 1, 2, 6, false));
     }
-    site.cluster.time().runUntil(ModelServingCluster.DEFINED_S);
+    testCluster.cluster.time().runUntil(ModelServingCluster.DEFINED_S);
     for (int i = 0; i < 4; i++) {
-      site.define("m" + i, 100 + i, 1, 1);
+      testCluster.define("m" + i, 100 + i, 1, 1);
     }
     double at = ModelServingCluster.DEFINED_S + 4;
-    site.cluster.time().runUntil(at);
+    testCluster.cluster.time().runUntil(at);
     for (int i = 0; i < 4; i++) {
-      site.wakeAt(at, i % 3, "m" + i);
+      testCluster.wakeAt(at, i % 3, "m" + i);
     }
-    site.cluster.time().runUntil(at + 9);
-    assertTrue(site.cluster.invariants().onMachines() >= 1, "side by side none would serve yet");
-    site.assertRulesKept();
+    testCluster.cluster.time().runUntil(at + 9);
+    assertTrue(
+        testCluster.cluster.invariants().onMachines() >= 1, "side by side none would serve yet");
+    testCluster.assertRulesKept();
   }
 
   /**
@@ -345,18 +363,18 @@
    */
   @Test
   void cachedModelComesBackWithoutFetch() throws MalformedMessageException {
-    ModelServingCluster site = new ModelServingCluster(ClusterSpec.tryOut(24, true), 15);
-    site.submit(ModelServingCluster.job(100, 4, 6, ModelServingCluster.FETCH_S, false));
-    site.cluster.time().runUntil(ModelServingCluster.DEFINED_S);
-    site.define("m", 100, 1, 4, ModelServingCluster.IDLE_S, 1);
-    site.timeWhenIn("m", "ZERO", 40);
-    site.cluster.time().runUntil(200);
-    int fetches = site.cluster.environment().coldStarts().fetches();
-    site.wakeAt(200.1, 2, "m");
-    double warm = site.timeWhenIn("m", "WARM", 20);
+    ModelServingCluster testCluster = new ModelServingCluster(ClusterSpec.tryOut(24, true), 15);
+    testCluster.submit(ModelServingCluster.job(100, 4, 6, ModelServingCluster.FETCH_S, false));
+    testCluster.cluster.time().runUntil(ModelServingCluster.DEFINED_S);
+    testCluster.define("m", 100, 1, 4, ModelServingCluster.IDLE_S, 1);
+    testCluster.timeWhenIn("m", "ZERO", 40);
+    testCluster.cluster.time().runUntil(200);
+    int fetches = testCluster.cluster.environment().coldStarts().fetches();
+    testCluster.wakeAt(200.1, 2, "m");
+    double warm = testCluster.timeWhenIn("m", "WARM", 20);
     assertTrue(warm < 204, "warm at " + warm);
-    assertEquals(fetches, site.cluster.environment().coldStarts().fetches());
-    site.assertRulesKept();
+    assertEquals(fetches, testCluster.cluster.environment().coldStarts().fetches());
+    testCluster.assertRulesKept();
   }
 
   /**
@@ -365,24 +383,24 @@
    */
   @Test
   void idleModelIsEvictedForNeededModel() throws MalformedMessageException {
-    ModelServingCluster site = new ModelServingCluster(ClusterSpec.tryOut(6, true), 16);
-    site.submit(ModelServingCluster.job(100, 4, 6, 3, false));
-    site.submit(ModelServingCluster.job(101, 2, 6, 3, false));
-    site.cluster.time().runUntil(ModelServingCluster.DEFINED_S);
-    site.define("m", 100, 4, 4, 900, 0);
-    site.define("n", 101, 2, 2, 900, 0);
-    site.timeWhenIn("n", "ZERO", 40);
-    site.wakeAt(START_S, 0, "m");
-    site.timeWhenIn("m", "WARM", 60);
-    site.wakeAt(START_S + 100, 1, "n");
-    site.cluster.time().runUntil(START_S + 115);
-    assertEquals("WARM", site.phase("m"), "machines may still be rented");
-    site.timeWhenIn("n", "WARM", 40);
-    assertEquals("ZERO", site.phase("m"));
-    assertEquals(2, site.onMachines(101));
-    site.cluster.time().runUntil(site.cluster.time().seconds() + 60);
-    assertEquals("WARM", site.phase("n"), "an evicted model does not come back by itself");
-    site.assertRulesKept();
+    ModelServingCluster testCluster = new ModelServingCluster(ClusterSpec.tryOut(6, true), 16);
+    testCluster.submit(ModelServingCluster.job(100, 4, 6, 3, false));
+    testCluster.submit(ModelServingCluster.job(101, 2, 6, 3, false));
+    testCluster.cluster.time().runUntil(ModelServingCluster.DEFINED_S);
+    testCluster.define("m", 100, 4, 4, 900, 0);
+    testCluster.define("n", 101, 2, 2, 900, 0);
+    testCluster.timeWhenIn("n", "ZERO", 40);
+    testCluster.wakeAt(START_S, 0, "m");
+    testCluster.timeWhenIn("m", "WARM", 60);
+    testCluster.wakeAt(START_S + 100, 1, "n");
+    testCluster.cluster.time().runUntil(START_S + 115);
+    assertEquals("WARM", testCluster.phase("m"), "machines may still be rented");
+    testCluster.timeWhenIn("n", "WARM", 40);
+    assertEquals("ZERO", testCluster.phase("m"));
+    assertEquals(2, testCluster.onMachines(101));
+    testCluster.cluster.time().runUntil(testCluster.cluster.time().seconds() + 60);
+    assertEquals("WARM", testCluster.phase("n"), "an evicted model does not come back by itself");
+    testCluster.assertRulesKept();
   }
 
   /**
@@ -391,37 +409,40 @@
    */
   @Test
   void requestsAtLostControllerCountUntilLeaseExpiry() throws MalformedMessageException {
-    ModelServingCluster site = ModelServingCluster.withOne(13, 1);
-    int leader = site.cluster.leader();
+    ModelServingCluster testCluster = ModelServingCluster.withOne(13, 1);
+    int leader = testCluster.cluster.leader();
     int other = (leader + 1) % 3;
-    site.cluster
+    testCluster
+        .cluster
         .time()
         .at(
             START_S,
             () ->
-                site.send(
+                testCluster.send(
                     other, "m/load", Map.of("from", "gateway", "in_flight", 15), response -> {}));
-    site.timeWhenIn("m", "WARM", 60);
-    site.cluster.time().runUntil(START_S + 25);
-    assertEquals(2, site.onMachines(100), "15 in flight at 10 a replica");
-    site.cluster
+    testCluster.timeWhenIn("m", "WARM", 60);
+    testCluster.cluster.time().runUntil(START_S + 25);
+    assertEquals(2, testCluster.onMachines(100), "15 in flight at 10 a replica");
+    testCluster
+        .cluster
         .time()
         .at(
             START_S + 26,
             () ->
-                site.send(
+                testCluster.send(
                     other, "m/load", Map.of("from", "gateway", "in_flight", 15), response -> {}));
-    site.cluster.time().runUntil(START_S + 27);
-    site.cluster.isolate(other, 60, true);
-    site.cluster.time().runUntil(START_S + 28);
-    assertEquals("WARM", site.phase("m"));
-    double drained = site.timeWhenIn("m", "DRAINING", 60);
+    testCluster.cluster.time().runUntil(START_S + 27);
+    testCluster.cluster.isolate(other, 60, true);
+    testCluster.cluster.time().runUntil(START_S + 28);
+    assertEquals("WARM", testCluster.phase("m"));
+    double drained = testCluster.timeWhenIn("m", "DRAINING", 60);
     assertNull(
-        site.cluster.state().value("q/member/" + ClusterSpec.nodeName(other)), "its lease is over");
+        testCluster.cluster.state().value("q/member/" + ClusterSpec.nodeName(other)),
+        "its lease is over");
     assertTrue(drained < START_S + 27 + 20, "at " + drained);
-    site.cluster.time().runUntil(START_S + 150);
-    assertEquals("ZERO", site.phase("m"));
-    site.assertRulesKept();
+    testCluster.cluster.time().runUntil(START_S + 150);
+    assertEquals("ZERO", testCluster.phase("m"));
+    testCluster.assertRulesKept();
   }
 
   @Test
@@ -437,31 +458,32 @@
 
   /** Many models, of which one in twenty is needed: these come up, and all others stay at zero. */
   private static void manyModels(int count) throws MalformedMessageException {
-    ModelServingCluster site = new ModelServingCluster(ClusterSpec.tryOut(45, true), 14);
+    ModelServingCluster testCluster = new ModelServingCluster(ClusterSpec.tryOut(45, true), 14);
     for (int i = 0; i < count; i++) {
-      site.submit(ModelServingCluster.job(1000 + i, 1, 0.25, 0.3, false));
+      testCluster.submit(ModelServingCluster.job(1000 + i, 1, 0.25, 0.3, false));
     }
-    site.cluster.time().runUntil(ModelServingCluster.DEFINED_S);
+    testCluster.cluster.time().runUntil(ModelServingCluster.DEFINED_S);
     for (int i = 0; i < count; i++) {
       int each = i;
-      site.cluster
+      testCluster
+          .cluster
           .time()
           .at(
               ModelServingCluster.DEFINED_S + i / 25.0,
-              () -> site.defineLater(each % 3, "m" + each, 1000 + each));
+              () -> testCluster.defineLater(each % 3, "m" + each, 1000 + each));
     }
-    site.cluster.time().runUntil(120);
+    testCluster.cluster.time().runUntil(120);
     for (int i = 0; i < count; i++) {
-      assertEquals("ZERO", site.phase("m" + i), "m" + i);
+      assertEquals("ZERO", testCluster.phase("m" + i), "m" + i);
     }
-    assertEquals(0, site.cluster.invariants().onMachines());
+    assertEquals(0, testCluster.cluster.invariants().onMachines());
     for (int i = 0; i < count / 20; i++) {
-      site.wakeAt(120.1, i % 3, "m" + 20 * i);
+      testCluster.wakeAt(120.1, i % 3, "m" + 20 * i);
     }
-    site.cluster.time().runUntil(138);
+    testCluster.cluster.time().runUntil(138);
     for (int i = 0; i < count; i++) {
-      assertEquals(i % 20 == 0 ? "WARM" : "ZERO", site.phase("m" + i), "m" + i);
+      assertEquals(i % 20 == 0 ? "WARM" : "ZERO", testCluster.phase("m" + i), "m" + i);
     }
-    site.assertRulesKept();
+    testCluster.assertRulesKept();
   }
 }
--- a/src/test/java/org/quincecross/emulator/ModelServingCluster.java
+++ b/src/test/java/org/quincecross/emulator/ModelServingCluster.java
@@ -34,10 +34,10 @@
   private int requests;
   private final List<JobId> jobs = new ArrayList<>();
 
-  ModelServingCluster(ClusterSpec site, long seed) {
+  ModelServingCluster(ClusterSpec spec, long seed) {
     cluster =
         new SimulatedCluster(
-            site,
+            spec,
             seed,
             Meter.OFF,
             new Features(null, null, Build.present("agreed", 3), Map.of("models", Map.of())));
@@ -48,14 +48,14 @@
    * started together.
    */
   static ModelServingCluster withOne(long seed, int least) throws MalformedMessageException {
-    ModelServingCluster site = new ModelServingCluster(ClusterSpec.tryOut(24, true), seed);
+    ModelServingCluster testCluster = new ModelServingCluster(ClusterSpec.tryOut(24, true), seed);
     // Late enough that no machine has its weights when it becomes a model.
-    site.submitAt(DEFINED_S - 0.5, job(100, 4, 6, FETCH_S, false));
-    site.cluster.time().runUntil(DEFINED_S);
-    site.define("m", 100, least, 4);
-    site.cluster.time().runUntil(DEFINED_S + 17);
-    assertEquals("ZERO", site.phase("m"));
-    return site;
+    testCluster.submitAt(DEFINED_S - 0.5, job(100, 4, 6, FETCH_S, false));
+    testCluster.cluster.time().runUntil(DEFINED_S);
+    testCluster.define("m", 100, least, 4);
+    testCluster.cluster.time().runUntil(DEFINED_S + 17);
+    assertEquals("ZERO", testCluster.phase("m"));
+    return testCluster;
   }
 
   static Job job(int number, int tasks, double cpus, double imageGb, boolean gang) {
--- a/src/test/java/org/quincecross/emulator/ModelServingScenario.java
+++ b/src/test/java/org/quincecross/emulator/ModelServingScenario.java
@@ -29,15 +29,15 @@
   private static final double MAX_FAULT_DURATION_S = 30;
   private static final double FAULT_FREE_S = 75;
 
-  private final ModelServingCluster site;
+  private final ModelServingCluster testCluster;
   private final Random random;
   private final List<String> findings = new ArrayList<>();
 
   ModelServingScenario(long seed) throws MalformedMessageException {
     random = new Random(seed * 31 + 7);
-    site = new ModelServingCluster(ClusterSpec.tryOut(24, random.nextBoolean()), seed);
+    testCluster = new ModelServingCluster(ClusterSpec.tryOut(24, random.nextBoolean()), seed);
     for (int i = 0; i < MODELS; i++) {
-      site.submit(
+      testCluster.submit(
           ModelServingCluster.job(
               100 + i,
               i == 0 ? GANG_SIZE : 4,
@@ -45,14 +45,15 @@
               2 + random.nextInt(9),
               i == 0));
     }
-    site.cluster.time().runUntil(ModelServingCluster.DEFINED_S);
+    testCluster.cluster.time().runUntil(ModelServingCluster.DEFINED_S);
     for (int i = 0; i < MODELS; i++) {
-      site.define(name(i), 100 + i, i == 0 ? GANG_SIZE : MIN_REPLICAS, i == 0 ? GANG_SIZE : 4);
+      testCluster.define(
+          name(i), 100 + i, i == 0 ? GANG_SIZE : MIN_REPLICAS, i == 0 ? GANG_SIZE : 4);
     }
-    site.cluster.time().runUntil(FIRST_FAULT_S - 2);
-    site.cluster.state().applyLate(60);
+    testCluster.cluster.time().runUntil(FIRST_FAULT_S - 2);
+    testCluster.cluster.state().applyLate(60);
     for (int i = 0; i < 60; i++) {
-      site.wakeAt(
+      testCluster.wakeAt(
           FIRST_FAULT_S + 130 * random.nextDouble(),
           random.nextInt(3),
           name(random.nextInt(MODELS)));
@@ -65,7 +66,7 @@
           0.2 + (MAX_FAULT_DURATION_S - 0.2) * random.nextDouble() * random.nextDouble();
       int node = random.nextInt(3);
       int kind = random.nextInt(8);
-      site.cluster.time().at(atS, () -> injectFault(kind, node, seconds));
+      testCluster.cluster.time().at(atS, () -> injectFault(kind, node, seconds));
     }
   }
 
@@ -74,7 +75,7 @@
   }
 
   private void injectFault(int kind, int node, double seconds) {
-    SimulatedCluster cluster = site.cluster;
+    SimulatedCluster cluster = testCluster.cluster;
     switch (kind) {
       case 0 -> cluster.crash(node);
       case 1 -> cluster.isolate(node, seconds, random.nextBoolean());
@@ -108,15 +109,16 @@
    * not come up when needed or do not scale back to zero.
    */
   List<String> run() {
-    SimulatedCluster cluster = site.cluster;
+    SimulatedCluster cluster = testCluster.cluster;
     cluster.time().runUntil(LAST_FAULT_S + FAULT_FREE_S);
     for (int i = 0; i < MODELS; i++) {
       expect(i, "ZERO", 0);
-      site.wakeAt(cluster.time().seconds() + random.nextDouble(), random.nextInt(3), name(i));
+      testCluster.wakeAt(
+          cluster.time().seconds() + random.nextDouble(), random.nextInt(3), name(i));
     }
     cluster.time().runUntil(cluster.time().seconds() + 15);
     for (int i = 0; i < MODELS; i++) {
-      site.send(
+      testCluster.send(
           random.nextInt(3),
           name(i) + "/load",
           Map.of("from", "gateway", "in_flight", 1),
@@ -136,7 +138,8 @@
   }
 
   private void expect(int model, String phase, int replicas) {
-    if (!site.phase(name(model)).equals(phase) || site.onMachines(100 + model) != replicas) {
+    if (!testCluster.phase(name(model)).equals(phase)
+        || testCluster.onMachines(100 + model) != replicas) {
       findings.add(
           name(model)
               + " is not "
@@ -144,9 +147,9 @@
               + " with "
               + replicas
               + " but has "
-              + site.onMachines(100 + model)
+              + testCluster.onMachines(100 + model)
               + ": "
-              + ColdStartInvariant.state(site.cluster.state(), name(model)));
+              + ColdStartInvariant.state(testCluster.cluster.state(), name(model)));
     }
   }
 
@@ -155,7 +158,7 @@
    * given up.
    */
   Map<String, Integer> counts() {
-    ColdStartInvariant starts = site.cluster.environment().coldStarts();
+    ColdStartInvariant starts = testCluster.cluster.environment().coldStarts();
     return Map.of(
         "starts", starts.starts(), "fetches", starts.fetches(), "late", starts.lateStarts());
   }
--- a/src/test/java/org/quincecross/emulator/OneWayPartitionCluster.java
+++ b/src/test/java/org/quincecross/emulator/OneWayPartitionCluster.java
@@ -49,9 +49,9 @@
   final List<MachineId> partitioned = new ArrayList<>();
 
   OneWayPartitionCluster(long seed) throws MalformedMessageException {
-    ClusterSpec site = ClusterSpec.tryOut(60, true);
-    cluster = new SimulatedCluster(site, seed, Meter.OFF);
-    for (WorkloadFile.ScheduledJob due : WorkloadFile.read(JOBS, site)) {
+    ClusterSpec spec = ClusterSpec.tryOut(60, true);
+    cluster = new SimulatedCluster(spec, seed, Meter.OFF);
+    for (WorkloadFile.ScheduledJob due : WorkloadFile.read(JOBS, spec)) {
       cluster.time().at(6 + due.atS(), () -> cluster.users().submit(due.job()));
       if (due.job().jobClass().equals("front")) {
         services.add(due.job().id());
@@ -118,17 +118,17 @@
     for (int percent : new int[] {33, 20, 5}) {
       for (double seconds : new double[] {30, 150, 600}) {
         for (long seed = 1; seed <= 3; seed++) {
-          OneWayPartitionCluster site = new OneWayPartitionCluster(seed);
-          site.partition(percent, seconds, seed);
-          double missing = site.missingUntil(seconds + 60);
+          OneWayPartitionCluster testCluster = new OneWayPartitionCluster(seed);
+          testCluster.partition(percent, seconds, seed);
+          double missing = testCluster.missingUntil(seconds + 60);
           System.out.printf(
               "%6d %6.0f %5d %18.1f %15d  %s%n",
               percent,
               seconds,
               seed,
               missing,
-              site.cluster.undeliveredStarts(),
-              site.cluster.invariants().violations());
+              testCluster.cluster.undeliveredStarts(),
+              testCluster.cluster.invariants().violations());
         }
       }
     }
--- a/src/test/java/org/quincecross/emulator/OneWayPartitionTest.java
+++ b/src/test/java/org/quincecross/emulator/OneWayPartitionTest.java
@@ -24,19 +24,20 @@
   @CsvSource({"20, 150, 1", "33, 150, 1"})
   void tasksOfPartitionedMachinesRunElsewhereAfterLeaseExpiry(
       int percent, double seconds, long seed) throws MalformedMessageException {
-    OneWayPartitionCluster site = new OneWayPartitionCluster(seed);
-    site.partition(percent, seconds, seed);
-    double missing = site.missingUntil(seconds);
+    OneWayPartitionCluster testCluster = new OneWayPartitionCluster(seed);
+    testCluster.partition(percent, seconds, seed);
+    double missing = testCluster.missingUntil(seconds);
     assertTrue(missing < MAX_MISSING_S, "replicas missing for " + missing + " s");
     assertTrue(
-        site.cluster.undeliveredStarts() <= site.partitioned.size(),
-        site.cluster.undeliveredStarts() + " starts to deaf machines");
-    assertEquals(0, site.partitionedInUse());
-    site.missingUntil(seconds + 40);
+        testCluster.cluster.undeliveredStarts() <= testCluster.partitioned.size(),
+        testCluster.cluster.undeliveredStarts() + " starts to deaf machines");
+    assertEquals(0, testCluster.partitionedInUse());
+    testCluster.missingUntil(seconds + 40);
     // One machine may be suspected at any time: one in a hundred packets is late by seconds.
     assertTrue(
-        site.closed().size() <= 1, "closed, although they receive messages: " + site.closed());
-    assertTrue(site.partitionedInUse() > 0, "none of them is used again");
-    assertEquals(List.of(), site.cluster.invariants().violations());
+        testCluster.closed().size() <= 1,
+        "closed, although they receive messages: " + testCluster.closed());
+    assertTrue(testCluster.partitionedInUse() > 0, "none of them is used again");
+    assertEquals(List.of(), testCluster.cluster.invariants().violations());
   }
 }
--- a/src/test/java/org/quincecross/emulator/RandomScenario.java
+++ b/src/test/java/org/quincecross/emulator/RandomScenario.java
@@ -134,15 +134,15 @@
 
   /** The same with only some of the fault pairs, by number; an empty set selects all. */
   static RandomScenario withCombinedFaults(long seed, Set<Integer> only, boolean further) {
-    ClusterSpec site = ClusterSpec.small();
+    ClusterSpec spec = ClusterSpec.small();
     List<Settings.AgentTimeouts> workers =
         List.of(
-            site.workers(),
+            spec.workers(),
             ClusterSpec.tryOut(9, true).workers(),
             ClusterSpec.mixed(690).workers());
     SimulatedCluster cluster =
         new SimulatedCluster(
-            site.with(workers.get((int) Math.floorMod(seed, (long) workers.size()))),
+            spec.with(workers.get((int) Math.floorMod(seed, (long) workers.size()))),
             seed,
             Meter.OFF);
     RandomScenario day =
@@ -273,7 +273,7 @@
               .filter(each -> random.nextInt(4) == 0)
               .forEach(each -> cluster.cloud().terminate(each, 3 + random.nextDouble() * 15));
       case 10 ->
-          new ZonePartitions(cluster).zone(node % cluster.site().zones().size(), length, lose);
+          new ZonePartitions(cluster).zone(node % cluster.spec().zones().size(), length, lose);
       case 11 ->
           machines.forEach(
               each ->
--- a/src/test/java/org/quincecross/emulator/RecordedDays.java
+++ b/src/test/java/org/quincecross/emulator/RecordedDays.java
@@ -179,10 +179,10 @@
    * service level counts.
    */
   private void runOverload() {
-    ClusterSpec site = ClusterSpec.fleet(60);
+    ClusterSpec spec = ClusterSpec.fleet(60);
     SimulatedCluster cluster =
         new SimulatedCluster(
-            site,
+            spec,
             45,
             Meter.OFF,
             new Features(Shares.DEFAULTS, TimeSpan.ofSeconds(30), Build.present("new", 2)));
@@ -248,7 +248,7 @@
   private static Job array(SimulatedCluster cluster, int number) {
     return Job.builder(new JobId("job-" + number))
         .jobClass("sync")
-        .team(cluster.site().teams().keySet().iterator().next())
+        .team(cluster.spec().teams().keySet().iterator().next())
         .kind(JobKind.ARRAY)
         .priority(Priority.NORMAL)
         .taskCount(5)
@@ -406,40 +406,43 @@
   }
 
   private void runLegalHolds() throws MalformedMessageException {
-    LegalHoldCluster site = new LegalHoldCluster(SWEEPS, 30, 47);
-    recordState(site.cluster, 160);
-    site.declareSweepsWithClaims("sweep", "cdr", "0-19", "cdr/2025-03", "20-39", "cdr/2025-04");
-    site.at(44, () -> site.open(0, "ref-1", "r1", "cdr/2025-03"));
-    site.at(46, () -> site.openFrom(1, "ref-2", "r2", 60, "cdr/2025-04"));
-    site.at(48, () -> site.open(1, "ref-3", "r3", "not a record"));
-    site.at(80, () -> site.close(2, "ref-1", "c1", 1));
-    site.at(90, () -> site.cluster.crash(Math.max(0, site.cluster.leader())));
-    site.at(100, () -> site.close(0, "ref-2", "c2", 1));
-    runUntil(site.cluster, 170);
+    LegalHoldCluster testCluster = new LegalHoldCluster(SWEEPS, 30, 47);
+    recordState(testCluster.cluster, 160);
+    testCluster.declareSweepsWithClaims(
+        "sweep", "cdr", "0-19", "cdr/2025-03", "20-39", "cdr/2025-04");
+    testCluster.at(44, () -> testCluster.open(0, "ref-1", "r1", "cdr/2025-03"));
+    testCluster.at(46, () -> testCluster.openFrom(1, "ref-2", "r2", 60, "cdr/2025-04"));
+    testCluster.at(48, () -> testCluster.open(1, "ref-3", "r3", "not a record"));
+    testCluster.at(80, () -> testCluster.close(2, "ref-1", "c1", 1));
+    testCluster.at(90, () -> testCluster.cluster.crash(Math.max(0, testCluster.cluster.leader())));
+    testCluster.at(100, () -> testCluster.close(0, "ref-2", "c2", 1));
+    runUntil(testCluster.cluster, 170);
   }
 
   private void runModels() throws MalformedMessageException {
-    ModelServingCluster site = new ModelServingCluster(ClusterSpec.tryOut(24, true), 48);
-    recordState(site.cluster, 150);
-    site.submitAt(
+    ModelServingCluster testCluster = new ModelServingCluster(ClusterSpec.tryOut(24, true), 48);
+    recordState(testCluster.cluster, 150);
+    testCluster.submitAt(
         ModelServingCluster.DEFINED_S - 0.5,
         ModelServingCluster.job(100, 4, 6, ModelServingCluster.FETCH_S, false));
-    runUntil(site.cluster, ModelServingCluster.DEFINED_S);
-    site.define("m", 100, 2, 4);
-    site.wakeAt(50, 1, "m");
+    runUntil(testCluster.cluster, ModelServingCluster.DEFINED_S);
+    testCluster.define("m", 100, 2, 4);
+    testCluster.wakeAt(50, 1, "m");
     for (int i = 0; i < 30; i++) {
-      site.cluster
+      testCluster
+          .cluster
           .time()
           .at(
               60 + i,
               () ->
-                  site.send(
+                  testCluster.send(
                       1, "m/load", Map.of("from", "gateway", "in_flight", 30), response -> {}));
     }
-    site.cluster
+    testCluster
+        .cluster
         .time()
-        .at(110, () -> site.send(0, "m/drain", Map.of("request", "d1"), response -> {}));
-    runUntil(site.cluster, 160);
+        .at(110, () -> testCluster.send(0, "m/drain", Map.of("request", "d1"), response -> {}));
+    runUntil(testCluster.cluster, 160);
   }
 
   private void runDeadlineRequests() {
--- a/src/test/java/org/quincecross/emulator/ReplicatedRecordCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/ReplicatedRecordCasesTest.java
@@ -26,7 +26,7 @@
  * time.
  */
 class ReplicatedRecordCasesTest {
-  private final ReplicatedRecordCluster site = new ReplicatedRecordCluster(7);
+  private final ReplicatedRecordCluster testCluster = new ReplicatedRecordCluster(7);
 
   ReplicatedRecordCasesTest() throws MalformedMessageException {}
 
@@ -122,10 +122,10 @@
    */
   @Test
   void allocationPlannedBeforeBlockIsRefused() throws MalformedMessageException {
-    site.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 10);
+    testCluster.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 10);
     JobId late = new JobId("job-4711");
     Job like =
-        site.jobs.values().stream()
+        testCluster.jobs.values().stream()
             .filter(job -> job.kind() == JobKind.ARRAY)
             .findFirst()
             .orElseThrow();
@@ -143,29 +143,30 @@
             .checkpointInterval(like.checkpointInterval())
             .checkpointCost(like.checkpointCost())
             .build();
-    site.jobs.put(late, job);
-    site.cluster.injectFaultAt(
+    testCluster.jobs.put(late, job);
+    testCluster.cluster.injectFaultAt(
         request ->
             request.startsWith("POST /txn")
                 && (request.contains("q/alloc") || request.contains("q/change"))
                 && request.contains("\"4711\""),
         2,
         SimulatedCluster.SendFault.STILL_BEFORE);
-    site.cluster.users().submit(job);
+    testCluster.cluster.users().submit(job);
     double until = ReplicatedRecordCluster.READY_S + 11;
-    while (site.cluster.faultedController() < 0 && until < ReplicatedRecordCluster.READY_S + 15) {
+    while (testCluster.cluster.faultedController() < 0
+        && until < ReplicatedRecordCluster.READY_S + 15) {
       until += 0.01;
-      site.cluster.time().runUntil(until);
+      testCluster.cluster.time().runUntil(until);
     }
-    int leader = site.cluster.faultedController();
+    int leader = testCluster.cluster.faultedController();
     assertTrue(leader >= 0, "never allocated");
-    site.sendUntilKnown(leader + 1, late.text(), "close", "close");
-    site.cluster.time().runUntil(until + 1.5);
-    assertTrue(site.proven.containsKey(late), "not proven before the transaction is sent");
-    site.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 30);
-    assertEquals(List.of(), site.findings);
-    site.sendUntilKnown(leader, late.text(), "open", "open");
-    site.assertRulesKeptAndWorkDone(ReplicatedRecordCluster.READY_S + 200);
+    testCluster.sendUntilKnown(leader + 1, late.text(), "close", "close");
+    testCluster.cluster.time().runUntil(until + 1.5);
+    assertTrue(testCluster.proven.containsKey(late), "not proven before the transaction is sent");
+    testCluster.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 30);
+    assertEquals(List.of(), testCluster.findings);
+    testCluster.sendUntilKnown(leader, late.text(), "open", "open");
+    testCluster.assertRulesKeptAndWorkDone(ReplicatedRecordCluster.READY_S + 200);
   }
 
   /**
@@ -174,29 +175,29 @@
    */
   @Test
   void changesAreRefusedUntilAllSupportFeature() throws MalformedMessageException {
-    site.cluster.install(2, ReplicatedRecordCluster.OLD);
-    site.cluster.crash(2);
-    site.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 10);
+    testCluster.cluster.install(2, ReplicatedRecordCluster.OLD);
+    testCluster.cluster.crash(2);
+    testCluster.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 10);
     List<String> answers = new ArrayList<>();
     for (int node = 0; node < 3; node++) {
-      site.cluster.sendDirectly(
+      testCluster.cluster.sendDirectly(
           node,
           ReplicatedRecordCluster.post("count", "early", "pass"),
           response -> answers.add(response.status() + " " + new String(response.body(), UTF_8)));
     }
-    site.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 12);
+    testCluster.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 12);
     assertEquals(3, answers.size());
     for (String answer : answers) {
       assertTrue(
           answer.startsWith("409") && answer.contains("n2, whose build (old) ends at level 2"),
           answer);
     }
-    assertTrue(site.cluster.state().keysWithPrefix("q/agreed/").isEmpty());
-    site.cluster.upgrade(2, ReplicatedRecordCluster.NEW);
-    site.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 40);
-    site.sendUntilKnown(2, "count", "early", "pass");
-    site.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 42);
-    assertEquals(1L, site.reportedChanges.get("early"));
+    assertTrue(testCluster.cluster.state().keysWithPrefix("q/agreed/").isEmpty());
+    testCluster.cluster.upgrade(2, ReplicatedRecordCluster.NEW);
+    testCluster.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 40);
+    testCluster.sendUntilKnown(2, "count", "early", "pass");
+    testCluster.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 42);
+    assertEquals(1L, testCluster.reportedChanges.get("early"));
   }
 
   /**
@@ -205,26 +206,29 @@
    */
   @Test
   void barrierWaitsForAllControllers() {
-    site.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 10);
-    site.sendUntilKnown(0, "count", "first", "pass");
-    site.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 12);
-    Revision first = site.gates[0].index.get("count").version();
+    testCluster.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 10);
+    testCluster.sendUntilKnown(0, "count", "first", "pass");
+    testCluster.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 12);
+    Revision first = testCluster.gates[0].index.get("count").version();
     assertEquals(
-        ReplicationBarrier.State.KNOWN_BY_REPORTS, site.gates[0].base.known().of(first).state());
-    site.cluster.isolate(2, 120, true);
-    site.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 18);
-    site.sendUntilKnown(0, "count", "second", "pass");
-    site.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 20);
-    Revision second = site.gates[0].index.get("count").version();
-    ReplicationBarrier.Status answer = site.gates[0].base.known().of(second);
+        ReplicationBarrier.State.KNOWN_BY_REPORTS,
+        testCluster.gates[0].base.known().of(first).state());
+    testCluster.cluster.isolate(2, 120, true);
+    testCluster.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 18);
+    testCluster.sendUntilKnown(0, "count", "second", "pass");
+    testCluster.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 20);
+    Revision second = testCluster.gates[0].index.get("count").version();
+    ReplicationBarrier.Status answer = testCluster.gates[0].base.known().of(second);
     assertEquals(ReplicationBarrier.State.SPREADING, answer.state());
     assertEquals("[n2]", answer.missing().toString());
-    double left = answer.latest().since(site.gates[0].base.timers().now()).seconds();
-    site.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 20 + left - 0.5);
-    assertEquals(ReplicationBarrier.State.SPREADING, site.gates[0].base.known().of(second).state());
-    site.cluster.time().runUntil(site.cluster.time().seconds() + 1.5);
+    double left = answer.latest().since(testCluster.gates[0].base.timers().now()).seconds();
+    testCluster.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 20 + left - 0.5);
     assertEquals(
-        ReplicationBarrier.State.KNOWN_BY_TIME, site.gates[0].base.known().of(second).state());
+        ReplicationBarrier.State.SPREADING, testCluster.gates[0].base.known().of(second).state());
+    testCluster.cluster.time().runUntil(testCluster.cluster.time().seconds() + 1.5);
+    assertEquals(
+        ReplicationBarrier.State.KNOWN_BY_TIME,
+        testCluster.gates[0].base.known().of(second).state());
   }
 
   /**
@@ -234,18 +238,19 @@
   @ParameterizedTest
   @ValueSource(strings = {"q/agreed/gate/job-1", "q/agreed/unknown/x"})
   void unreadableRecordKeepsControllerOut(String key) throws MalformedMessageException {
-    site.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 10);
-    site.cluster
+    testCluster.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 10);
+    testCluster
+        .cluster
         .state()
         .write(key, Json.object("must", true, "change", 1, "state", "from the future"));
-    site.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 16);
+    testCluster.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 16);
     for (int node = 0; node < 3; node++) {
       assertTrue(
-          site.cluster.status(node).string("unable").contains(key),
-          site.cluster.status(node).string("unable"));
+          testCluster.cluster.status(node).string("unable").contains(key),
+          testCluster.cluster.status(node).string("unable"));
     }
-    site.cluster.state().write(key, null);
-    site.assertRulesKeptAndWorkDone(ReplicatedRecordCluster.READY_S + 260);
-    assertFalse(site.cluster.leader() < 0);
+    testCluster.cluster.state().write(key, null);
+    testCluster.assertRulesKeptAndWorkDone(ReplicatedRecordCluster.READY_S + 260);
+    assertFalse(testCluster.cluster.leader() < 0);
   }
 }
--- a/src/test/java/org/quincecross/emulator/ReplicatedRecordCluster.java
+++ b/src/test/java/org/quincecross/emulator/ReplicatedRecordCluster.java
@@ -117,7 +117,7 @@
     }
   }
 
-  private final ClusterSpec site = ClusterSpec.tryOut(30, true);
+  private final ClusterSpec spec = ClusterSpec.tryOut(30, true);
   final Gates[] gates = new Gates[3];
   final SimulatedCluster cluster;
   final Map<JobId, Job> jobs = new TreeMap<>();
@@ -137,8 +137,8 @@
   ReplicatedRecordCluster(long seed) throws MalformedMessageException {
     cluster =
         new SimulatedCluster(
-            site, seed, Meter.OFF, new Features(null, null, NEW, Map.of()), this::prepare);
-    for (WorkloadFile.ScheduledJob due : WorkloadFile.read(JOBS, site)) {
+            spec, seed, Meter.OFF, new Features(null, null, NEW, Map.of()), this::prepare);
+    for (WorkloadFile.ScheduledJob due : WorkloadFile.read(JOBS, spec)) {
       cluster.time().at(READY_S - 25 + due.atS(), () -> cluster.users().submit(due.job()));
       jobs.put(due.job().id(), due.job());
     }
--- a/src/test/java/org/quincecross/emulator/RolloutCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/RolloutCasesTest.java
@@ -63,16 +63,16 @@
             """;
 
   /** Few changes per transaction: the level change has to fit. */
-  private final ClusterSpec site =
+  private final ClusterSpec spec =
       ClusterSpec.tryOut(30, true).with(new Settings.StoreLimits(400, 56, 2048, 4));
 
   private final SimulatedCluster cluster =
-      new SimulatedCluster(site, 5, Meter.OFF, new Features(null, null, OLD));
+      new SimulatedCluster(spec, 5, Meter.OFF, new Features(null, null, OLD));
   private final List<JobId> arrays = new ArrayList<>();
   private final List<String> findings = new ArrayList<>();
 
   RolloutCasesTest() throws MalformedMessageException {
-    for (WorkloadFile.ScheduledJob due : WorkloadFile.read(JOBS, site)) {
+    for (WorkloadFile.ScheduledJob due : WorkloadFile.read(JOBS, spec)) {
       cluster.time().at(4 + due.atS(), () -> cluster.users().submit(due.job()));
       if (due.job().jobClass().equals("rebuild")) {
         arrays.add(due.job().id());
@@ -429,8 +429,8 @@
     assertTrue(
         cluster.invariants().used("batch").cpus() > 60,
         "above the limit to come: " + cluster.invariants().used("batch"));
-    Team batch = site.teams().get("batch");
-    Map<String, Team> lower = new HashMap<>(site.teams());
+    Team batch = spec.teams().get("batch");
+    Map<String, Team> lower = new HashMap<>(spec.teams());
     lower.put(
         "batch",
         new Team(
@@ -454,7 +454,7 @@
       most = Math.max(most, cluster.invariants().used("batch").cpus());
     }
     assertTrue(most > 30 && most <= 40.001, most + " processors of 40");
-    cluster.configureTeams(other, site.teams());
+    cluster.configureTeams(other, spec.teams());
     cluster.crash(other);
     assertRulesKeptAtLevel(240, 2);
     assertEquals("done", cluster.users().reportedStates().get(wide));
--- a/src/test/java/org/quincecross/emulator/SettingsMarksTest.java
+++ b/src/test/java/org/quincecross/emulator/SettingsMarksTest.java
@@ -13,14 +13,14 @@
  * same marks in every build.
  */
 class SettingsMarksTest {
-  private static Map<String, String> marks(ClusterSpec site) {
+  private static Map<String, String> marks(ClusterSpec spec) {
     List<Endpoint> nodes =
         List.of(
             new Endpoint("10.0.0.1", 80),
             new Endpoint("10.0.0.2", 80),
             new Endpoint("10.0.0.3", 80));
     return new TreeMap<>(
-        site.settings(0, nodes, nodes, nodes.get(1), nodes.get(2)).announcedLimits().checksums());
+        spec.settings(0, nodes, nodes, nodes.get(1), nodes.get(2)).announcedLimits().checksums());
   }
 
   @Test
--- a/src/test/java/org/quincecross/emulator/SmallJobsTest.java
+++ b/src/test/java/org/quincecross/emulator/SmallJobsTest.java
@@ -29,9 +29,9 @@
   @ParameterizedTest
   @ValueSource(ints = {15, 80})
   void reportsEveryEndAndCompletesOtherWork(int changes) {
-    ClusterSpec site =
+    ClusterSpec spec =
         ClusterSpec.tryOut(60, true).with(new Settings.StoreLimits(200, changes, 4096, 8));
-    SimulatedCluster cluster = new SimulatedCluster(site, changes, Meter.OFF);
+    SimulatedCluster cluster = new SimulatedCluster(spec, changes, Meter.OFF);
     Random random = new Random(changes);
     List<JobId> others = new ArrayList<>();
     SmallJobs.begin(cluster, JOBS_PER_SECOND, 0.25, 5, DURATION_S, random);
--- a/src/test/java/org/quincecross/emulator/StoreLimitReductionTest.java
+++ b/src/test/java/org/quincecross/emulator/StoreLimitReductionTest.java
@@ -254,14 +254,14 @@
    */
   @Test
   void memberWithManyTeamsTakesPart() {
-    Map<String, Team> teams = new LinkedHashMap<>(cluster.site().teams());
+    Map<String, Team> teams = new LinkedHashMap<>(cluster.spec().teams());
     for (int i = 0; i < 40; i++) {
       teams.put(
           "team-" + i, new Team("team-" + i, new Resources(1, 0, 1), new Resources(10, 0, 10)));
     }
     SimulatedCluster other =
         new SimulatedCluster(
-            cluster.site().with(teams).with(LOW), 5, Meter.OFF, new Features(null, null, NEW));
+            cluster.spec().with(teams).with(LOW), 5, Meter.OFF, new Features(null, null, NEW));
     other.time().runUntil(20);
     assertTrue(other.leader() >= 0, "no controller is a member");
     assertEquals(0, other.state().tooLarge());
--- a/src/test/java/org/quincecross/emulator/TeamLimitDuringFailuresTest.java
+++ b/src/test/java/org/quincecross/emulator/TeamLimitDuringFailuresTest.java
@@ -32,7 +32,7 @@
   private static final double FAULT_END_S = 110;
   private static final int CANCELLATIONS_PER_WAVE = 14;
 
-  private final ClusterSpec site =
+  private final ClusterSpec spec =
       ClusterSpec.tryOut(30, true)
           .with(
               Map.of("long", team("long", 48), "zonal", team("zonal", 40), "web", team("web", 24)));
@@ -102,7 +102,7 @@
   }
 
   private void injectFault(Fault fault) {
-    double lease = site.workers().lease().seconds();
+    double lease = spec.workers().lease().seconds();
     switch (fault) {
       case HANG -> {
         cancel(CANCELLATIONS_PER_WAVE, 0.2);
@@ -186,7 +186,7 @@
         }
       }
       case ZONE_LOSES_MACHINES -> {
-        String zone = site.zones().get(random.nextInt(3));
+        String zone = spec.zones().get(random.nextInt(3));
         List<AgentSimulator> there =
             cluster.cloud().workers().stream()
                 .filter(worker -> worker.machine().zone().equals(zone))
@@ -310,7 +310,7 @@
   }
 
   private List<String> run(Fault fault, long seed) {
-    cluster = new SimulatedCluster(site, seed, Meter.OFF);
+    cluster = new SimulatedCluster(spec, seed, Meter.OFF);
     random = new Random(seed * 31 + fault.ordinal());
     for (int i = 0; i < 36; i++) {
       submit(100 + i, "long", JobKind.ARRAY, 2 + i % 2, 1, i % 4 == 0, 55);
@@ -334,7 +334,7 @@
               });
     }
     cluster.time().runUntil(FAULT_START_S);
-    site.teams()
+    spec.teams()
         .forEach(
             (name, team) ->
                 atLimits &= cluster.invariants().used(name).cpus() > team.limit().cpus() - 8);
--- a/src/test/java/org/quincecross/emulator/UnguaranteedTeamTest.java
+++ b/src/test/java/org/quincecross/emulator/UnguaranteedTeamTest.java
@@ -64,8 +64,8 @@
         .build();
   }
 
-  private static SimulatedCluster newCluster(ClusterSpec site) {
-    return new SimulatedCluster(site, 7, Meter.OFF);
+  private static SimulatedCluster newCluster(ClusterSpec spec) {
+    return new SimulatedCluster(spec, 7, Meter.OFF);
   }
 
   /**
--- a/src/test/java/org/quincecross/emulator/ZonePartitions.java
+++ b/src/test/java/org/quincecross/emulator/ZonePartitions.java
@@ -15,11 +15,11 @@
    * Cuts a zone off from everything outside; its machines and controllers still reach one another.
    */
   void zone(int zone, double length, boolean lose) {
-    String name = cluster.site().zones().get(zone);
+    String name = cluster.spec().zones().get(zone);
     List<String> inside = new ArrayList<>();
     List<String> outside = new ArrayList<>(List.of("state", "cloud", "users"));
     for (int i = 0; i < cluster.nodeCount(); i++) {
-      (name.equals(cluster.site().zones().get(i % cluster.site().zones().size()))
+      (name.equals(cluster.spec().zones().get(i % cluster.spec().zones().size()))
               ? inside
               : outside)
           .add(ClusterSpec.nodeName(i));
