--- a/src/main/java/org/quincecross/admin/ReplicatedRecordsApi.java
+++ b/src/main/java/org/quincecross/admin/ReplicatedRecordsApi.java
@@ -158,8 +158,8 @@
 
   private <S> void show(
       ReplicatedRecordIndex<S, ?> index, String id, Consumer<HttpResponse> reply) {
-    ReplicatedRecordIndex.Held<S> held = index.get(id);
-    if (held == null) {
+    ReplicatedRecordIndex.Held<S> stored = index.get(id);
+    if (stored == null) {
       String unreadable = index.unreadable().get(id);
       reply.accept(
           unreadable == null
@@ -167,9 +167,9 @@
               : error(500, "the record cannot be read: " + unreadable));
       return;
     }
-    ReplicationBarrier.Status replication = context.known().of(held.version());
+    ReplicationBarrier.Status replication = context.known().of(stored.version());
     List<Object> trail = new ArrayList<>();
-    held.record().auditEntries(held.version()).forEach(entry -> trail.add(entry.toMap()));
+    stored.record().auditEntries(stored.version()).forEach(entry -> trail.add(entry.toMap()));
     reply.accept(
         ok(
             Json.object(
@@ -178,9 +178,9 @@
                 "id",
                 id,
                 "change",
-                held.record().change(),
+                stored.record().change(),
                 "revision",
-                held.version().value(),
+                stored.version().value(),
                 "known",
                 Json.object(
                     "state",
@@ -192,9 +192,9 @@
                         ? null
                         : Math.max(0, replication.latest().since(context.timers().now()).millis())),
                 "rows",
-                index.kind().rows(id, held.state(), context.at()),
+                index.kind().rows(id, stored.state(), context.at()),
                 "state",
-                index.kind().write(held.state()),
+                index.kind().write(stored.state()),
                 "latest",
                 trail)));
   }
@@ -321,7 +321,7 @@
     index
         .all()
         .values()
-        .forEach(held -> entries.addAll(held.record().auditEntries(held.version())));
+        .forEach(stored -> entries.addAll(stored.record().auditEntries(stored.version())));
   }
 
   private void answer(
--- a/src/main/java/org/quincecross/api/Cancellations.java
+++ b/src/main/java/org/quincecross/api/Cancellations.java
@@ -151,9 +151,9 @@
   }
 
   private boolean hasSeen(ShardLease lease, JobRecord record) {
-    ShardOwner own = ownedShards.get(lease.id());
-    if (own != null) {
-      return own.hasAllFenced();
+    ShardOwner owner = ownedShards.get(lease.id());
+    if (owner != null) {
+      return owner.hasAllFenced();
     }
     PeerViews.View view = views.of(lease.owner());
     PeerViews.ShardView shardView = view == null ? null : view.shards().get(lease.id());
--- a/src/main/java/org/quincecross/api/Controller.java
+++ b/src/main/java/org/quincecross/api/Controller.java
@@ -320,7 +320,7 @@
   @Override
   public void handle(HttpRequest request, Consumer<HttpResponse> reply) {
     detectPause();
-    MonotonicTime begun = timers.now();
+    MonotonicTime startedAt = timers.now();
     String path = request.path();
     String requestType =
         path.startsWith(JobCodec.JOBS_PATH)
@@ -330,7 +330,7 @@
         request,
         path,
         response -> {
-          metrics.record(requestType, response.status(), timers.now().since(begun));
+          metrics.record(requestType, response.status(), timers.now().since(startedAt));
           reply.accept(response);
         });
   }
--- a/src/main/java/org/quincecross/api/PeerReporter.java
+++ b/src/main/java/org/quincecross/api/PeerReporter.java
@@ -91,10 +91,13 @@
     startPermission.sent(incarnation.get(), count, timers.now());
     updateIsolation.run();
     ownedShards.refresh(count, refreshAll);
-    PeerViews.View own = views.of(self);
+    PeerViews.View ownView = views.of(self);
     views.apply(
         reports.create(
-            count, own == null || !own.incarnation().equals(incarnation.get()) ? 0 : own.number()),
+            count,
+            ownView == null || !ownView.incarnation().equals(incarnation.get())
+                ? 0
+                : ownView.number()),
         timers.now());
     for (ControllerId member : peers) {
       LinkMonitor link = links.computeIfAbsent(member, m -> new LinkMonitor());
--- a/src/main/java/org/quincecross/api/Submissions.java
+++ b/src/main/java/org/quincecross/api/Submissions.java
@@ -326,7 +326,7 @@
       Consumer<TransactionResult> done) {
     pendingWrites++;
     jobsBeingWritten += group.size();
-    MonotonicTime begun = timers.now();
+    MonotonicTime startedAt = timers.now();
     boolean[] answered = new boolean[1];
     boolean[] isOverdue = new boolean[1];
     timers.after(
@@ -349,7 +349,7 @@
           jobsBeingWritten -= group.size();
           // An overdue write delayed others only as far as no further write was allowed besides it.
           double secondsEach =
-              timers.now().since(begun).seconds()
+              timers.now().since(startedAt).seconds()
                   / group.size()
                   / (isOverdue[0] ? MAX_CONCURRENT_WRITES : 1);
           secondsPerJob = (1 - LATEST_WEIGHT) * secondsPerJob + LATEST_WEIGHT * secondsEach;
--- a/src/main/java/org/quincecross/emulator/ColdStartInvariant.java
+++ b/src/main/java/org/quincecross/emulator/ColdStartInvariant.java
@@ -72,10 +72,10 @@
         Map<?, ?> place = (Map<?, ?>) each;
         // Each task of a gang runs on every machine of the gang's placements, in the order of
         // arrival.
-        boolean its =
+        boolean matches =
             ((Number) place.get("replica")).intValue() == task.index()
                 || environment.job(task.job()).kind() == JobKind.GANG;
-        if (its && machine.text().equals(place.get("machine"))) {
+        if (matches && machine.text().equals(place.get("machine"))) {
           return new ReplicaPlacement(task, machine, ((Number) place.get("epoch")).longValue());
         }
       }
--- a/src/main/java/org/quincecross/emulator/ConcurrentReaders.java
+++ b/src/main/java/org/quincecross/emulator/ConcurrentReaders.java
@@ -43,9 +43,9 @@
       double cancelShare,
       double seconds,
       Random random) {
-    ConcurrentReaders looks =
+    ConcurrentReaders readers =
         new ConcurrentReaders(environment, random, share, cancelShare, seconds);
-    environment.users().addListener(looks::onJobEvent);
+    environment.users().addListener(readers::onJobEvent);
   }
 
   private void onJobEvent(UserSimulator.JobEvent moment, JobId id) {
--- a/src/main/java/org/quincecross/emulator/DependentJobs.java
+++ b/src/main/java/org/quincecross/emulator/DependentJobs.java
@@ -85,8 +85,8 @@
   }
 
   private boolean isOver(JobId id) {
-    String told = environment.users().reportedStates().get(id);
-    return "done".equals(told) || "cancelled".equals(told);
+    String state = environment.users().reportedStates().get(id);
+    return "done".equals(state) || "cancelled".equals(state);
   }
 
   private boolean isReleased(JobId id) {
--- a/src/main/java/org/quincecross/emulator/DuplicatedMessages.java
+++ b/src/main/java/org/quincecross/emulator/DuplicatedMessages.java
@@ -87,8 +87,8 @@
       return;
     }
     if (leadership == null) {
-      Endpoint there = random.nextInt(3) == 0 ? nodes.get(random.nextInt(nodes.size())) : to;
-      sender.send(MIN_DELAY_S + random.nextDouble() * (latestS - MIN_DELAY_S), there);
+      Endpoint target = random.nextInt(3) == 0 ? nodes.get(random.nextInt(nodes.size())) : to;
+      sender.send(MIN_DELAY_S + random.nextDouble() * (latestS - MIN_DELAY_S), target);
       return;
     }
     kept.add(sender);
--- a/src/main/java/org/quincecross/emulator/LocalCluster.java
+++ b/src/main/java/org/quincecross/emulator/LocalCluster.java
@@ -412,8 +412,8 @@
   }
 
   private boolean isOver(JobId id) {
-    String told = environment.users().reportedStates().get(id);
-    return "done".equals(told) || "cancelled".equals(told);
+    String jobState = environment.users().reportedStates().get(id);
+    return "done".equals(jobState) || "cancelled".equals(jobState);
   }
 
   /** The arrays and gangs that have not ended. */
@@ -477,15 +477,15 @@
   private int printSummary() {
     List<String> unfinished = new ArrayList<>();
     for (WorkloadFile.ScheduledJob due : jobs) {
-      String told = environment.users().reportedStates().get(due.job().id());
+      String jobState = environment.users().reportedStates().get(due.job().id());
       String wanted = due.job().kind() == JobKind.SERVICE ? "cancelled" : "done";
-      if (!wanted.equals(told)) {
+      if (!wanted.equals(jobState)) {
         unfinished.add(
             due.job().id()
                 + " ("
                 + due.job().jobClass()
                 + ") "
-                + (told == null ? "was not accepted" : "is " + told));
+                + (jobState == null ? "was not accepted" : "is " + jobState));
       }
     }
     List<String> broken = environment.invariants().violations();
--- a/src/main/java/org/quincecross/emulator/MalformedRequests.java
+++ b/src/main/java/org/quincecross/emulator/MalformedRequests.java
@@ -164,8 +164,8 @@
         return Json.write(List.of(job));
       }
       case NO_JSON -> {
-        byte[] whole = Json.write(job);
-        return new String(whole, 0, 1 + random.nextInt(whole.length - 1), StandardCharsets.UTF_8)
+        byte[] json = Json.write(job);
+        return new String(json, 0, 1 + random.nextInt(json.length - 1), StandardCharsets.UTF_8)
             .getBytes(StandardCharsets.UTF_8);
       }
       default -> throw new IllegalStateException(what.toString());
--- a/src/main/java/org/quincecross/emulator/ProtocolInvariants.java
+++ b/src/main/java/org/quincecross/emulator/ProtocolInvariants.java
@@ -217,14 +217,17 @@
         && !before.equals(state)) {
       addViolation("went_back", id + " from " + before + " to " + state);
     }
-    String over =
+    String finalState =
         state.equals("done") || state.equals("cancelled")
             ? finalStates.putIfAbsent(id, state)
             : null;
-    if (over != null && !over.equals(state)) {
+    if (finalState != null && !finalState.equals(state)) {
       addViolation(
           "told_two_ends",
-          id + " is " + over + " and "
+          id
+              + " is "
+              + finalState
+              + " and "
               + state); // a final state never changes, whenever the request was sent
     }
     if (state.equals("cancelled")) {
--- a/src/main/java/org/quincecross/emulator/UserSimulator.java
+++ b/src/main/java/org/quincecross/emulator/UserSimulator.java
@@ -414,13 +414,15 @@
       HttpRequest request,
       double timeout,
       Consumer<HttpOutcome> done) {
-    double begun = environment.clock().seconds();
+    double startedAt = environment.clock().seconds();
     Consumer<HttpOutcome> answered =
         outcome -> {
           answers.merge(kind + " " + outcome.status(), 1, Integer::sum);
           if (outcome.status() != 0) {
             longestResponseS.merge(
-                kind + " " + outcome.status(), environment.clock().seconds() - begun, Math::max);
+                kind + " " + outcome.status(),
+                environment.clock().seconds() - startedAt,
+                Math::max);
           }
           done.accept(outcome);
         };
--- a/src/main/java/org/quincecross/emulator/VirtualNetwork.java
+++ b/src/main/java/org/quincecross/emulator/VirtualNetwork.java
@@ -200,11 +200,11 @@
       HttpRequest request,
       TimeSpan timeout,
       Consumer<HttpOutcome> done) {
-    boolean[] over = new boolean[1];
+    boolean[] answered = new boolean[1];
     Consumer<HttpOutcome> once =
         outcome -> {
-          if (!over[0] && caller.isAlive()) {
-            over[0] = true;
+          if (!answered[0] && caller.isAlive()) {
+            answered[0] = true;
             done.accept(outcome);
           }
         };
@@ -268,9 +268,9 @@
   }
 
   private void deliverCopy(String from, Endpoint at, HttpRequest request) {
-    Host there = hosts.get(at);
-    if (there != null && there.isUp()) {
-      there.request(from, request, response -> {}); // nobody waits for the answer to a copy
+    Host host = hosts.get(at);
+    if (host != null && host.isUp()) {
+      host.request(from, request, response -> {}); // nobody waits for the answer to a copy
     }
   }
 }
--- a/src/main/java/org/quincecross/leader/AllocationIndex.java
+++ b/src/main/java/org/quincecross/leader/AllocationIndex.java
@@ -132,9 +132,9 @@
     if (before != null) {
       for (JobId job : before.keySet()) {
         if (!next.containsKey(job)) {
-          Map<ShardId, TaskSet> there = where.get(job);
-          there.remove(shard);
-          if (there.isEmpty()) {
+          Map<ShardId, TaskSet> byShard = where.get(job);
+          byShard.remove(shard);
+          if (byShard.isEmpty()) {
             where.remove(job);
           }
           toCount.add(job);
@@ -310,7 +310,7 @@
   /** The uncompleted tasks of a shard. */
   Map<JobId, TaskSet> unfinishedTasks(ShardId shard) {
     refresh();
-    Map<JobId, TaskSet> held = new LinkedHashMap<>();
+    Map<JobId, TaskSet> tasksByJob = new LinkedHashMap<>();
     allocated
         .getOrDefault(shard, Map.of())
         .forEach(
@@ -320,11 +320,11 @@
                 TaskSet open = tasks.copy();
                 open.removeAll(account.completed());
                 if (!open.isEmpty()) {
-                  held.put(job, open);
+                  tasksByJob.put(job, open);
                 }
               }
             });
-    return held;
+    return tasksByJob;
   }
 
   /** The number of completed tasks that a shard's record still contains. */
@@ -362,8 +362,8 @@
   /** The shards that have changed since the last call. */
   List<ShardId> takeChangedShards() {
     refresh();
-    List<ShardId> taken = new ArrayList<>(changedShards);
+    List<ShardId> changes = new ArrayList<>(changedShards);
     changedShards.clear();
-    return taken;
+    return changes;
   }
 }
--- a/src/main/java/org/quincecross/leader/AllocationWriter.java
+++ b/src/main/java/org/quincecross/leader/AllocationWriter.java
@@ -48,12 +48,13 @@
   boolean put(TransactionBuilder transaction, ShardId id, Map<JobId, TaskSet> next) {
     int bytes = Json.write(Allocation.write(next)).length;
     boolean isTooLarge = bytes > transaction.maxValueBytes();
-    Allocation whole = cache.wholeAllocation(id);
+    Allocation fullRecord = cache.wholeAllocation(id);
     if ((isTooLarge || !fullRecordsOnly.getAsBoolean())
         && Feature.ALLOCATION_CHANGES.isEnabledAt(cache.level().level())
-        && whole.version().value() != 0) {
+        && fullRecord.version().value() != 0) {
       Map<String, Object> change =
-          AllocationDelta.write(whole, isTooLarge ? withTerminatedTasks(whole, next) : next);
+          AllocationDelta.write(
+              fullRecord, isTooLarge ? withTerminatedTasks(fullRecord, next) : next);
       if (isTooLarge || Json.write(change).length < MAX_DELTA_SHARE * bytes) {
         return transaction.put(
             StoreKeys.allocationDelta(id),
@@ -68,9 +69,9 @@
    * Adds the terminated tasks of the full record to an allocation. Readers ignore them, and naming
    * all of them as removed would soon exceed a value.
    */
-  private Map<JobId, TaskSet> withTerminatedTasks(Allocation whole, Map<JobId, TaskSet> next) {
+  private Map<JobId, TaskSet> withTerminatedTasks(Allocation fullRecord, Map<JobId, TaskSet> next) {
     Map<JobId, TaskSet> with = new LinkedHashMap<>(next);
-    whole
+    fullRecord
         .tasks()
         .forEach(
             (job, tasks) -> {
@@ -93,12 +94,12 @@
   /** Writes a full record, which every level can read. */
   boolean putFullRecord(TransactionBuilder transaction, ShardId id, Map<JobId, TaskSet> next) {
     String changeKey = StoreKeys.allocationDelta(id);
-    Map<String, Object> whole = Allocation.write(next);
+    Map<String, Object> fullRecord = Allocation.write(next);
     boolean hasChange = cache.version(changeKey).value() != 0;
     if (hasChange && transaction.remaining() < 2) {
       return false;
     }
-    return transaction.put(StoreKeys.allocation(id), whole)
+    return transaction.put(StoreKeys.allocation(id), fullRecord)
         && (!hasChange || transaction.delete(changeKey));
   }
 
--- a/src/main/java/org/quincecross/leader/AuditTrailArchiver.java
+++ b/src/main/java/org/quincecross/leader/AuditTrailArchiver.java
@@ -70,8 +70,8 @@
       if (!id.kind().equals(index.kind().name())) {
         continue;
       }
-      ReplicatedRecordIndex.Held<S> held = index.get(id.id());
-      if (held == null || !isLong(index, held.record(), transaction)) {
+      ReplicatedRecordIndex.Held<S> stored = index.get(id.id());
+      if (stored == null || !isLong(index, stored.record(), transaction)) {
         recordsToCheck.remove(id);
         continue;
       }
@@ -79,7 +79,7 @@
         break; // a moved record changes and is checked again then; one without room now stays in
         // the set
       }
-      List<AuditEntry> lines = held.record().auditEntries(held.version());
+      List<AuditEntry> lines = stored.record().auditEntries(stored.version());
       int fit = fitting(next, lines, transaction);
       if (fit == 0 && next == page) {
         number++; // the page is full: continue on the next one
@@ -91,7 +91,7 @@
       }
       if (!transaction.put(
           index.key(id.id()),
-          held.record().withoutEntries(fit, held.version()).write(index.kind()))) {
+          stored.record().withoutEntries(fit, stored.version()).write(index.kind()))) {
         // The record is too large even without its trail; moving entries would repeat them on page
         // after page.
         recordsToCheck.remove(id);
--- a/src/main/java/org/quincecross/leader/FreeCapacity.java
+++ b/src/main/java/org/quincecross/leader/FreeCapacity.java
@@ -117,14 +117,14 @@
   /** Whether enough whole machines remain for large work without this machine. */
   private boolean leavesWholeMachines(MachineId machine, ShardLease shard) {
     PurchaseKind kind = new PurchaseKind(shard.type(), shard.spot());
-    int own = 0;
+    int ownState = 0;
     for (Headroom headroom : largeWork.getOrDefault(kind, List.of())) {
       PeerHeartbeat.MachineState state = view.machines().get(machine);
       boolean isWhole =
           state != null && stays(machine, shard) && headroom.each().fitsIn(state.free());
-      own = isWhole ? 1 : 0;
+      ownState = isWhole ? 1 : 0;
     }
-    return wholeMachines.getOrDefault(kind, 0) - own >= machinesToKeep.getOrDefault(kind, 0);
+    return wholeMachines.getOrDefault(kind, 0) - ownState >= machinesToKeep.getOrDefault(kind, 0);
   }
 
   /**
@@ -139,9 +139,9 @@
     int slots = urgentSlots.getOrDefault(shard.type(), 0);
     Resources free = freeByType.getOrDefault(shard.type(), Resources.NONE);
     if (!shard.spot() && stays(machine, shard)) {
-      PeerHeartbeat.MachineState own = view.machines().get(machine);
-      slots -= urgentSlots(own);
-      free = free.minus(own.free());
+      PeerHeartbeat.MachineState ownState = view.machines().get(machine);
+      slots -= urgentSlots(ownState);
+      free = free.minus(ownState.free());
     }
     int needed = slotsFor(tasks, forecast.urgentTask());
     return slots >= needed + spareTasks && tasks.fitsIn(free);
--- a/src/main/java/org/quincecross/leader/LegalHoldReconciler.java
+++ b/src/main/java/org/quincecross/leader/LegalHoldReconciler.java
@@ -54,9 +54,9 @@
    * @param leading whether this controller leads
    */
   public LegalHoldReconciler(
-      ReplicatedFeatureContext base, LegalHoldStartBlock held, BooleanSupplier leading) {
+      ReplicatedFeatureContext base, LegalHoldStartBlock startBlock, BooleanSupplier leading) {
     this.base = base;
-    this.startBlock = held;
+    this.startBlock = startBlock;
     this.leading = leading;
     base.timers().every(INTERVAL, this::evaluate);
   }
--- a/src/main/java/org/quincecross/leader/LegalHoldStartBlock.java
+++ b/src/main/java/org/quincecross/leader/LegalHoldStartBlock.java
@@ -171,9 +171,9 @@
   private void reload(Set<JobId> concerned) {
     sweeps.all().forEach((lane, held) -> concerned.addAll(index.setSweepClass(lane, held.state())));
     claims.all().keySet().forEach(page -> claim(page, concerned));
-    Set<String> gone = new HashSet<>(index.references());
-    gone.removeAll(holds.all().keySet());
-    gone.forEach(reference -> hold(reference, concerned));
+    Set<String> closedHolds = new HashSet<>(index.references());
+    closedHolds.removeAll(holds.all().keySet());
+    closedHolds.forEach(reference -> hold(reference, concerned));
     Set.copyOf(sweeping.keySet()).forEach(id -> job(id, concerned));
     cache.jobs().forEach(id -> job(id, concerned));
     holds.all().keySet().forEach(reference -> hold(reference, concerned));
@@ -210,11 +210,11 @@
       }
       return;
     }
-    Job over = sweeping.remove(id);
-    if (over != null) {
-      List<RecordSelector> series = sweeps.state(over.jobClass());
+    Job endedJob = sweeping.remove(id);
+    if (endedJob != null) {
+      List<RecordSelector> series = sweeps.state(endedJob.jobClass());
       finishedSweeps.add(
-          new Over(id, series, TaskSet.range(over.taskCount()), base.timers().now()));
+          new Over(id, series, TaskSet.range(endedJob.taskCount()), base.timers().now()));
       while (finishedSweeps.size() > MAX_FINISHED_SWEEPS) {
         finishedSweeps.poll();
       }
@@ -338,9 +338,9 @@
 
   /** The holds that have changed since the last call. */
   Collection<String> takeChangedHolds() {
-    Set<String> taken = new LinkedHashSet<>(changedHolds);
+    Set<String> changes = new LinkedHashSet<>(changedHolds);
     changedHolds.clear();
-    return taken;
+    return changes;
   }
 
   /**
--- a/src/main/java/org/quincecross/leader/MachineTypeWriter.java
+++ b/src/main/java/org/quincecross/leader/MachineTypeWriter.java
@@ -32,8 +32,8 @@
    * them.
    */
   boolean plan(TransactionBuilder transaction, Collection<MachineType> catalog, MonotonicTime now) {
-    List<MachineType> news = catalog.stream().filter(this::isNewOrChanged).toList();
-    if (news.size() > transaction.remaining()) {
+    List<MachineType> changedTypes = catalog.stream().filter(this::isNewOrChanged).toList();
+    if (changedTypes.size() > transaction.remaining()) {
       waitingSince = waitingSince == null ? now : waitingSince;
       if (!now.since(waitingSince).isLongerThan(PATIENCE)) {
         return false;
@@ -41,7 +41,7 @@
     } else {
       waitingSince = null;
     }
-    news.forEach(
+    changedTypes.forEach(
         type ->
             transaction.put(
                 StoreKeys.machineType(type.name()), CloudCodec.writeCatalog(List.of(type))));
--- a/src/main/java/org/quincecross/leader/ModelAdmission.java
+++ b/src/main/java/org/quincecross/leader/ModelAdmission.java
@@ -38,7 +38,7 @@
   private final ModelPlacementView machines;
   private final AllocationIndex allocationIndex;
   private final Supplier<Map<String, Team>> teams;
-  private Collection<ModelSnapshot> looks = List.of();
+  private Collection<ModelSnapshot> snapshots = List.of();
 
   ModelAdmission(
       Timers timers,
@@ -57,7 +57,7 @@
 
   /** Updates the models. */
   void update(Collection<ModelSnapshot> now) {
-    looks = now;
+    snapshots = now;
   }
 
   /**
@@ -158,14 +158,14 @@
    */
   private boolean waitsForOtherPull(JobId id, MachineId machine, String image) {
     ModelSnapshot mine = null;
-    for (ModelSnapshot snapshot : looks) {
+    for (ModelSnapshot snapshot : snapshots) {
       mine = snapshot.job().id().equals(id) ? snapshot : mine;
     }
     PeerHeartbeat.MachineState state = machines.state(machine, timers.now());
     if (mine == null || state == null || state.images().contains(image)) {
       return false;
     }
-    for (ModelSnapshot other : looks) {
+    for (ModelSnapshot other : snapshots) {
       boolean before =
           !other.job().image().equals(image)
               && (other.model().phaseSinceMs() < mine.model().phaseSinceMs()
--- a/src/main/java/org/quincecross/leader/ModelAutoscaler.java
+++ b/src/main/java/org/quincecross/leader/ModelAutoscaler.java
@@ -186,13 +186,13 @@
     for (ControllerId member : cache.members().keySet()) {
       PeerViews.View view = views.of(member);
       byte[] section = view == null ? null : view.sections().get(ModelStatusReport.SECTION);
-      ModelStatusReport news = section == null ? null : ModelStatusReport.read(section);
-      if (news != null) {
+      ModelStatusReport report = section == null ? null : ModelStatusReport.read(section);
+      if (report != null) {
         if (!Long.valueOf(view.number()).equals(heard.put(member, view.number()))) {
-          demand.report(member, view.incarnation(), news.demand(), news.since(), view.at());
+          demand.report(member, view.incarnation(), report.demand(), report.since(), view.at());
         }
         if (!now.since(view.at()).isLongerThan(MAX_VIEW_AGE)) {
-          running.addAll(news.running());
+          running.addAll(report.running());
         }
       }
     }
--- a/src/main/java/org/quincecross/leader/ModelPlacementRound.java
+++ b/src/main/java/org/quincecross/leader/ModelPlacementRound.java
@@ -123,14 +123,14 @@
         free.add(replica);
       }
     }
-    boolean whole = snapshot.job().kind() == JobKind.GANG;
-    if (whole && (free.size() < snapshot.tasks() || most < snapshot.tasks())) {
+    boolean isGang = snapshot.job().kind() == JobKind.GANG;
+    if (isGang && (free.size() < snapshot.tasks() || most < snapshot.tasks())) {
       return Map.of();
     }
     Set<MachineId> has = new HashSet<>();
     snapshot.model().placements().values().forEach(place -> has.add(place.machine()));
     List<ReplicaPlacer.Assignment> choices =
-        whole
+        isGang
             ? ReplicaPlacer.chooseWithinShard(
                 snapshot.job(), candidates(), snapshot.model().avoidedMachines())
             : ReplicaPlacer.choose(
--- a/src/main/java/org/quincecross/leader/ReplicaFailureDetector.java
+++ b/src/main/java/org/quincecross/leader/ReplicaFailureDetector.java
@@ -41,9 +41,9 @@
 
   private final ReplicatedFeatureContext base;
   private final ModelPlacementView machines;
-  private final Map<Start, MonotonicTime> begun = new HashMap<>();
+  private final Map<Start, MonotonicTime> firstStarts = new HashMap<>();
   private final Map<MachineId, MonotonicTime> shutSince = new HashMap<>();
-  private Collection<ModelSnapshot> looks = List.of();
+  private Collection<ModelSnapshot> snapshots = List.of();
 
   ReplicaFailureDetector(ReplicatedFeatureContext base, ModelPlacementView machines) {
     this.base = base;
@@ -52,9 +52,9 @@
 
   /** Updates the placements. */
   void update(Collection<ModelSnapshot> now, MonotonicTime at) {
-    looks = now;
+    snapshots = now;
     Set<Start> known = new HashSet<>();
-    for (ModelSnapshot snapshot : looks) {
+    for (ModelSnapshot snapshot : snapshots) {
       snapshot
           .model()
           .placements()
@@ -62,22 +62,22 @@
               (replica, place) -> {
                 Start start = new Start(snapshot.name(), replica, place.epoch());
                 known.add(start);
-                begun.putIfAbsent(start, at);
+                firstStarts.putIfAbsent(start, at);
               });
     }
-    begun.keySet().retainAll(known);
+    firstStarts.keySet().retainAll(known);
   }
 
   void forget() {
-    begun.clear();
+    firstStarts.clear();
     shutSince.clear();
-    looks = List.of();
+    snapshots = List.of();
   }
 
   /** Since when a placement has been known here. */
   MonotonicTime since(
       ModelSnapshot snapshot, int replica, Model.Placement place, MonotonicTime now) {
-    return begun.getOrDefault(new Start(snapshot.name(), replica, place.epoch()), now);
+    return firstStarts.getOrDefault(new Start(snapshot.name(), replica, place.epoch()), now);
   }
 
   /** The replicas whose placements have failed, or null. */
@@ -154,7 +154,7 @@
   /** The volume of other image pulls on a machine for models that start there, in GB. */
   private double otherPullsGb(MachineId machine, String image) {
     Map<String, Double> sizes = new HashMap<>();
-    for (ModelSnapshot other : looks) {
+    for (ModelSnapshot other : snapshots) {
       other
           .model()
           .placements()
--- a/src/main/java/org/quincecross/leader/ScaleInPolicy.java
+++ b/src/main/java/org/quincecross/leader/ScaleInPolicy.java
@@ -177,14 +177,14 @@
         Comparator.comparing((MachineId machine) -> usedShares.get(machine))
             .thenComparing(machine -> machine));
     int left = 1 + situation.view().machines().size() / MACHINES_PER_CONSOLIDATION;
-    Map<MachineId, Resources> taken = new HashMap<>();
+    Map<MachineId, Resources> usedByMachine = new HashMap<>();
     for (MachineId machine : order) {
       ShardLease shard = cache.shardOf(machine);
       PeerHeartbeat.MachineState state = situation.view().machines().get(machine);
       Resources used = capacityOf(shard).minus(state.free());
       if (left > 0
           && situation.capacity().suffices(machine, used)
-          && hasCapacityInShard(machine, used, state.imagesInUse(), taken, situation)) {
+          && hasCapacityInShard(machine, used, state.imagesInUse(), usedByMachine, situation)) {
         LOG.info("machine {} is drained: other machines have capacity for its replicas", machine);
         select(machine);
         situation.capacity().remove(machine);
@@ -231,7 +231,7 @@
       MachineId machine,
       Resources used,
       List<String> images,
-      Map<MachineId, Resources> taken,
+      Map<MachineId, Resources> usedByMachine,
       Situation situation) {
     for (MachineId other : cache.shardOf(machine).machines().keySet()) {
       PeerHeartbeat.MachineState state = situation.view().machines().get(other);
@@ -240,8 +240,8 @@
           && state.open()
           && situation.capacity().stays(other, cache.shardOf(other))
           && state.images().containsAll(images)
-          && used.plus(taken.getOrDefault(other, Resources.NONE)).fitsIn(state.free())) {
-        taken.merge(other, used, Resources::plus);
+          && used.plus(usedByMachine.getOrDefault(other, Resources.NONE)).fitsIn(state.free())) {
+        usedByMachine.merge(other, used, Resources::plus);
         return true;
       }
     }
--- a/src/main/java/org/quincecross/legalhold/LegalHoldIndex.java
+++ b/src/main/java/org/quincecross/legalhold/LegalHoldIndex.java
@@ -86,7 +86,7 @@
   }
 
   private final RecordIndex<ClaimedRecords> claimed = new RecordIndex<>();
-  private final RecordIndex<Set<String>> held = new RecordIndex<>();
+  private final RecordIndex<Set<String>> holdsByRecord = new RecordIndex<>();
   private final Map<String, List<RecordSelector>> holds = new HashMap<>();
   private final Map<JobId, TrackedJob> jobs = new HashMap<>();
   private final Map<String, List<RecordSelector>> sweepClasses = new HashMap<>();
@@ -102,10 +102,10 @@
     List<RecordSelector> distinct = List.copyOf(new LinkedHashSet<>(records));
     holds.put(reference, distinct);
     for (RecordSelector each : distinct) {
-      Set<String> references = held.get(each);
+      Set<String> references = holdsByRecord.get(each);
       if (references == null) {
         references = new TreeSet<>();
-        held.put(each, references);
+        holdsByRecord.put(each, references);
         updateOverlaps(each, 1, changed);
       }
       references.add(reference);
@@ -117,10 +117,10 @@
   public Set<JobId> close(String reference) {
     Set<JobId> changed = new LinkedHashSet<>();
     for (RecordSelector each : holds.getOrDefault(reference, List.of())) {
-      Set<String> references = held.get(each);
+      Set<String> references = holdsByRecord.get(each);
       references.remove(reference);
       if (references.isEmpty()) {
-        held.remove(each);
+        holdsByRecord.remove(each);
         updateOverlaps(each, -1, changed);
       }
     }
@@ -261,7 +261,7 @@
       ClaimedRecords known = claimed.get(each);
       if (known == null) {
         known = new ClaimedRecords(each);
-        known.overlappingHolds = held.count(each);
+        known.overlappingHolds = holdsByRecord.count(each);
         steps++;
         claimed.put(each, known);
       }
@@ -348,7 +348,8 @@
     if (known != null) {
       for (TaskEntry entry : known.entries) {
         if (entry.recordsOnHold > 0) {
-          entry.records.forEach(each -> held.overlapping(each.records).forEach(references::addAll));
+          entry.records.forEach(
+              each -> holdsByRecord.overlapping(each.records).forEach(references::addAll));
         }
       }
     }
--- a/src/main/java/org/quincecross/legalhold/RecordIndex.java
+++ b/src/main/java/org/quincecross/legalhold/RecordIndex.java
@@ -109,10 +109,10 @@
     if (ofSeries == null) {
       return any;
     }
-    int whole = get(wholeSeries(records.series())) == null ? 0 : 1;
+    int wholeSeriesCount = get(wholeSeries(records.series())) == null ? 0 : 1;
     return switch (records.from()) {
-      case ANY_KEY -> any + whole + ofSeries.periods.size();
-      case ANY_PERIOD -> any + whole + ofSeries.keys.size();
+      case ANY_KEY -> any + wholeSeriesCount + ofSeries.periods.size();
+      case ANY_PERIOD -> any + wholeSeriesCount + ofSeries.keys.size();
       default -> overlapping(records).size();
     };
   }
--- a/src/main/java/org/quincecross/modelserving/ReplicaPlacer.java
+++ b/src/main/java/org/quincecross/modelserving/ReplicaPlacer.java
@@ -115,7 +115,7 @@
       Set<MachineId> avoided) {
     List<Assignment> assignments = new ArrayList<>();
     Map<String, Integer> zones = new HashMap<>(perZone);
-    Map<MachineId, Resources> taken = new HashMap<>();
+    Map<MachineId, Resources> usedByMachine = new HashMap<>();
     Map<MachineId, Integer> perMachine = new HashMap<>();
     occupied.forEach(machine -> perMachine.put(machine, 1));
     List<RatedCandidate> candidatesByCost = rate(job, candidates);
@@ -133,7 +133,9 @@
       for (RatedCandidate each : candidatesByCost) {
         Candidate candidate = each.machine;
         Resources used =
-            taken.getOrDefault(candidate.machine(), Resources.NONE).plus(job.taskResources());
+            usedByMachine
+                .getOrDefault(candidate.machine(), Resources.NONE)
+                .plus(job.taskResources());
         boolean zoneAllows =
             (!job.singleZone() || zones.isEmpty() || zones.containsKey(candidate.zone()))
                 && zones.getOrDefault(candidate.zone(), 0) < job.maxTasksPerZone();
@@ -149,7 +151,7 @@
       }
       MachineId machine = best.machine.machine();
       assignments.add(new Assignment(machine, best.machine.zone(), best.readyS));
-      taken.merge(machine, job.taskResources(), Resources::plus);
+      usedByMachine.merge(machine, job.taskResources(), Resources::plus);
       perMachine.merge(machine, 1, Integer::sum);
       zones.merge(best.machine.zone(), 1, Integer::sum);
     }
--- a/src/main/java/org/quincecross/overload/TardinessMinimizer.java
+++ b/src/main/java/org/quincecross/overload/TardinessMinimizer.java
@@ -47,14 +47,14 @@
     for (AdmissionCandidate job : jobs) {
       scheduleNextDeadline(job, -1, Double.NEGATIVE_INFINITY, toTry);
     }
-    PriorityQueue<Attempt> taken = new PriorityQueue<>(LARGEST_FIRST);
+    PriorityQueue<Attempt> accepted = new PriorityQueue<>(LARGEST_FIRST);
     while (!toTry.isEmpty()) {
       Attempt attempt = toTry.poll();
-      taken.add(attempt);
+      accepted.add(attempt);
       dueS.put(attempt.job.id(), attempt.job.deadlines().get(attempt.deadlineIndex).remainingS());
       backlogS += attempt.job.work() / rate;
-      while (backlogS > attempt.latestStartS && !taken.isEmpty()) {
-        Attempt largest = taken.poll();
+      while (backlogS > attempt.latestStartS && !accepted.isEmpty()) {
+        Attempt largest = accepted.poll();
         fits = false;
         backlogS -= largest.job.work() / rate;
         dueS.remove(largest.job.id());
--- a/src/main/java/org/quincecross/peer/KnownRevisions.java
+++ b/src/main/java/org/quincecross/peer/KnownRevisions.java
@@ -74,7 +74,7 @@
       }
     }
     List<ReplicationBarrier.ReportedRevision> expected = new ArrayList<>();
-    List<ReplicationBarrier.ReportedRevision> told = new ArrayList<>();
+    List<ReplicationBarrier.ReportedRevision> reported = new ArrayList<>();
     expect(settings.self(), expected);
     settings.peers().forEach(peer -> expect(peer.id(), expected));
     for (ControllerRecord member : cache.members().values()) {
@@ -85,12 +85,13 @@
     for (ReplicationBarrier.ReportedRevision each : expected) {
       PeerViews.View view = views.of(each.member());
       if (view != null) {
-        told.add(
+        reported.add(
             new ReplicationBarrier.ReportedRevision(
                 each.member(), view.incarnation(), view.cacheRevision()));
       }
     }
-    return ReplicationBarrier.status(revision, cache.revision(), at, expected, told, longest, now);
+    return ReplicationBarrier.status(
+        revision, cache.revision(), at, expected, reported, longest, now);
   }
 
   private void expect(ControllerId member, List<ReplicationBarrier.ReportedRevision> expected) {
--- a/src/main/java/org/quincecross/peer/ModelPlacementView.java
+++ b/src/main/java/org/quincecross/peer/ModelPlacementView.java
@@ -124,10 +124,10 @@
       PeerHeartbeat.MachineState state,
       List<Job> notYet,
       Map<String, Double> sizes) {
-    Resources taken = Resources.NONE;
+    Resources used = Resources.NONE;
     Map<String, Double> coming = new LinkedHashMap<>();
     for (Job job : notYet) {
-      taken = taken.plus(job.taskResources());
+      used = used.plus(job.taskResources());
       if (!state.images().contains(job.image())) {
         coming.put(job.image(), job.imageGb());
       }
@@ -136,7 +136,7 @@
     state.images().stream()
         .filter(sizes::containsKey)
         .forEach(image -> weights.put(image, sizes.get(image)));
-    Resources free = state.free().minus(taken);
+    Resources free = state.free().minus(used);
     return new ReplicaPlacer.Candidate(
         state.id(),
         lease.id().text(),
--- a/src/main/java/org/quincecross/peer/PeerCodec.java
+++ b/src/main/java/org/quincecross/peer/PeerCodec.java
@@ -215,7 +215,7 @@
     for (String name : readTexts(in)) {
       declined.add(job(name));
     }
-    boolean whole = in.unpackBoolean();
+    boolean isFull = in.unpackBoolean();
     List<TaskId> completed = readTasks(in);
     List<TaskId> released = readTasks(in);
     Map<JobId, Integer> running = new HashMap<>();
@@ -252,7 +252,7 @@
               readTexts(in)));
     }
     return new PeerHeartbeat.ShardStatus(
-        id, token, allocation, inDoubt, declined, whole, completed, released, running, machines);
+        id, token, allocation, inDoubt, declined, isFull, completed, released, running, machines);
   }
 
   private static JobId job(String name) throws MalformedMessageException {
--- a/src/main/java/org/quincecross/quota/QuotaUsage.java
+++ b/src/main/java/org/quincecross/quota/QuotaUsage.java
@@ -68,8 +68,9 @@
     if (node.parent() == null) {
       return Resources.NONE;
     }
-    Resources own = node.guarantee().times(1 - node.spec().lend()).minus(used[node.index()]);
-    return own.max(reserved[node.index()]).max(Resources.NONE);
+    Resources unusedGuarantee =
+        node.guarantee().times(1 - node.spec().lend()).minus(used[node.index()]);
+    return unusedGuarantee.max(reserved[node.index()]).max(Resources.NONE);
   }
 
   /**
--- a/src/main/java/org/quincecross/reservation/RequestUsage.java
+++ b/src/main/java/org/quincecross/reservation/RequestUsage.java
@@ -92,9 +92,9 @@
     Map<String, Integer> unused = new TreeMap<>(request.zones());
     int elsewhere = 0;
     for (Map.Entry<String, Integer> zone : used.entrySet()) {
-      int here = Math.min(zone.getValue(), unused.getOrDefault(zone.getKey(), 0));
-      unused.merge(zone.getKey(), -here, Integer::sum);
-      elsewhere += zone.getValue() - here;
+      int inZone = Math.min(zone.getValue(), unused.getOrDefault(zone.getKey(), 0));
+      unused.merge(zone.getKey(), -inZone, Integer::sum);
+      elsewhere += zone.getValue() - inZone;
     }
     for (; elsewhere > 0; elsewhere--) {
       String max = null;
--- a/src/main/java/org/quincecross/rollout/AnnouncedLimits.java
+++ b/src/main/java/org/quincecross/rollout/AnnouncedLimits.java
@@ -35,14 +35,14 @@
    * the limit of this one.
    */
   public static Map<String, Team> lowest(
-      Map<String, Team> own, Iterable<AnnouncedLimits> announced) {
-    Map<String, Team> teams = own;
+      Map<String, Team> ownChecksums, Iterable<AnnouncedLimits> announced) {
+    Map<String, Team> teams = ownChecksums;
     for (AnnouncedLimits announcedLimits : announced) {
-      for (Team team : own.values()) {
+      for (Team team : ownChecksums.values()) {
         Resources limit = announcedLimits.limits().get(team.name());
         Resources lowestSoFar = teams.get(team.name()).limit();
         if (limit != null && !lowestSoFar.fitsIn(limit)) {
-          teams = teams == own ? new LinkedHashMap<>(own) : teams;
+          teams = teams == ownChecksums ? new LinkedHashMap<>(ownChecksums) : teams;
           teams.put(
               team.name(),
               new Team(
@@ -64,7 +64,7 @@
    */
   public static List<String> differences(
       ControllerId self, Map<ControllerId, AnnouncedLimits> announced) {
-    Map<String, String> own = announced.getOrDefault(self, NONE).checksums();
+    Map<String, String> ownChecksums = announced.getOrDefault(self, NONE).checksums();
     List<String> differences = new ArrayList<>();
     new TreeMap<>(announced)
         .forEach(
@@ -73,7 +73,8 @@
               new TreeMap<>(announcedLimits.checksums())
                   .forEach(
                       (part, checksum) -> {
-                        if (own.containsKey(part) && !own.get(part).equals(checksum)) {
+                        if (ownChecksums.containsKey(part)
+                            && !ownChecksums.get(part).equals(checksum)) {
                           parts.add(part);
                         }
                       });
--- a/src/main/java/org/quincecross/scheduling/HeadroomPlan.java
+++ b/src/main/java/org/quincecross/scheduling/HeadroomPlan.java
@@ -67,13 +67,13 @@
     if (unused == null) {
       return 0;
     }
-    boolean here =
+    boolean fitsHere =
         reserves.getOrDefault(shard, List.of()).stream()
             .anyMatch(
                 headroom ->
                     headroom.beneficiary() != null
                         && headroom.beneficiary().jobClass().equals(job.jobClass()));
-    return here ? Math.max(0, unused.getOrDefault(zone, 0)) : 0;
+    return fitsHere ? Math.max(0, unused.getOrDefault(zone, 0)) : 0;
   }
 
   /** Records that a task of a job was admitted to a shard in a zone. */
--- a/src/main/java/org/quincecross/scheduling/RoundRobinQueue.java
+++ b/src/main/java/org/quincecross/scheduling/RoundRobinQueue.java
@@ -69,8 +69,8 @@
    * added.
    */
   public int itemsAhead(K owner) {
-    ArrayDeque<T> own = queues.get(owner);
-    int turn = own == null ? 1 : own.size() + 1;
+    ArrayDeque<T> queue = queues.get(owner);
+    int turn = queue == null ? 1 : queue.size() + 1;
     int ahead = turn - 1;
     for (Map.Entry<K, ArrayDeque<T>> other : queues.entrySet()) {
       ahead += other.getKey().equals(owner) ? 0 : Math.min(other.getValue().size(), turn);
@@ -80,8 +80,8 @@
 
   /** The number of an owner's items. */
   public int size(K owner) {
-    ArrayDeque<T> own = queues.get(owner);
-    return own == null ? 0 : own.size();
+    ArrayDeque<T> queue = queues.get(owner);
+    return queue == null ? 0 : queue.size();
   }
 
   /** Whether no item waits. */
--- a/src/main/java/org/quincecross/scheduling/ShardScheduler.java
+++ b/src/main/java/org/quincecross/scheduling/ShardScheduler.java
@@ -39,13 +39,13 @@
 
   /** Removes a machine; its waiting work goes to the others. */
   public void removeMachine(MachineId machine) {
-    MachineQueue gone = machines.remove(machine);
-    if (gone != null) {
-      for (QueueEntry entry : List.copyOf(gone.waiting())) {
+    MachineQueue removed = machines.remove(machine);
+    if (removed != null) {
+      for (QueueEntry entry : List.copyOf(removed.waiting())) {
         remove(entry);
         enqueue(entry);
       }
-      gone.waiting().forEach(queueOf::remove);
+      removed.waiting().forEach(queueOf::remove);
     }
   }
 
--- a/src/main/java/org/quincecross/shard/MachineLivenessMonitor.java
+++ b/src/main/java/org/quincecross/shard/MachineLivenessMonitor.java
@@ -187,9 +187,9 @@
     if (!isPartitionedForLong(session, now)) {
       return false;
     }
-    long deaf =
+    long unreachableCount =
         sessions.values().stream().filter(other -> !other.reachability().isReceiving()).count();
-    return deaf <= Math.max(1, sessions.size() / MACHINES_PER_REPLACEMENT);
+    return unreachableCount <= Math.max(1, sessions.size() / MACHINES_PER_REPLACEMENT);
   }
 
   private boolean isPartitionedForLong(AgentSession session, MonotonicTime now) {
--- a/src/main/java/org/quincecross/shard/Placements.java
+++ b/src/main/java/org/quincecross/shard/Placements.java
@@ -65,9 +65,9 @@
     schedulingNeeded = true;
     byState.get(state).remove(placement);
     if (machine != null) {
-      Set<Placement> there = byMachine.get(machine);
-      there.remove(placement);
-      if (there.isEmpty()) {
+      Set<Placement> placements = byMachine.get(machine);
+      placements.remove(placement);
+      if (placements.isEmpty()) {
         byMachine.remove(machine);
       }
       changedMachines.add(machine);
@@ -156,9 +156,9 @@
 
   /** The placements that have changed since the last call. */
   Collection<Placement> takeChanged() {
-    Set<Placement> taken = changed;
+    Set<Placement> changes = changed;
     changed = new LinkedHashSet<>();
-    return taken;
+    return changes;
   }
 
   boolean hasChanged() {
@@ -167,15 +167,15 @@
 
   /** Whether anything has changed since the last call. */
   boolean takeSchedulingNeeded() {
-    boolean taken = schedulingNeeded;
+    boolean changes = schedulingNeeded;
     schedulingNeeded = false;
-    return taken;
+    return changes;
   }
 
   /** The machines on which something has changed since the last call. */
   Set<MachineId> takeChangedMachines() {
-    Set<MachineId> taken = changedMachines;
+    Set<MachineId> changes = changedMachines;
     changedMachines = new LinkedHashSet<>();
-    return taken;
+    return changes;
   }
 }
--- a/src/main/java/org/quincecross/shard/RemoteCapacityHint.java
+++ b/src/main/java/org/quincecross/shard/RemoteCapacityHint.java
@@ -35,19 +35,19 @@
   }
 
   /**
-   * Whether another shard than {@code here} has capacity for a task of a job, and nothing queued
-   * that would take it first.
+   * Whether another shard than {@code ownShard} has capacity for a task of a job, and nothing
+   * queued that would take it first.
    */
-  public boolean exists(Job job, ShardId here) {
-    ShardLease own = cache.shard(here);
+  public boolean exists(Job job, ShardId ownShard) {
+    ShardLease ownLease = cache.shard(ownShard);
     for (ShardLease shard : cache.shards().values()) {
       // The other tasks of a job bound to one zone are most likely in this one.
       boolean mayGo =
-          !shard.id().equals(here)
+          !shard.id().equals(ownShard)
               && job.allows(shard.type(), shard.zone(), shard.spot())
               && (!job.singleZone()
                   || job.taskCount() == 1
-                  || (own != null && shard.zone().equals(own.zone())));
+                  || (ownLease != null && shard.zone().equals(ownLease.zone())));
       if (mayGo && hasRoom(job, shard)) {
         return true;
       }
@@ -56,8 +56,8 @@
   }
 
   private boolean hasRoom(Job job, ShardLease shard) {
-    PeerViews.View holder = views.of(shard.owner());
-    PeerViews.ShardView view = holder == null ? null : holder.shards().get(shard.id());
+    PeerViews.View owner = views.of(shard.owner());
+    PeerViews.ShardView view = owner == null ? null : owner.shards().get(shard.id());
     MachineType type = cache.machineTypes().get(shard.type());
     if (view == null
         || type == null
--- a/src/main/java/org/quincecross/state/JobIndex.java
+++ b/src/main/java/org/quincecross/state/JobIndex.java
@@ -135,8 +135,8 @@
   long runnableSinceMs(JobRecord record) {
     long ready = record.acceptedMs();
     for (JobId before : record.job().dependencies()) {
-      JobRecord its = jobs.get(before);
-      ready = its == null ? ready : Math.max(ready, its.endedMs());
+      JobRecord dependency = jobs.get(before);
+      ready = dependency == null ? ready : Math.max(ready, dependency.endedMs());
     }
     return ready;
   }
@@ -260,8 +260,8 @@
   }
 
   private void lookAround(JobId id) {
-    List<JobId> around = new ArrayList<>(dependencyGraph.unfinishedDependencies(id));
-    around.add(id);
-    urgencies.update(around, this::deriveUrgency);
+    List<JobId> neighbours = new ArrayList<>(dependencyGraph.unfinishedDependencies(id));
+    neighbours.add(id);
+    urgencies.update(neighbours, this::deriveUrgency);
   }
 }
--- a/src/main/java/org/quincecross/state/ReservedCapacity.java
+++ b/src/main/java/org/quincecross/state/ReservedCapacity.java
@@ -178,7 +178,7 @@
   /** The jobs of classes that requests name, and the zones of their tasks. */
   private List<RunningJob> taken() {
     Set<String> lanes = reservation.jobClasses();
-    List<RunningJob> taken = new ArrayList<>();
+    List<RunningJob> jobs = new ArrayList<>();
     for (JobRecord record : cache.openJobs()) {
       if (lanes.contains(record.job().jobClass()) && !cache.shardsOf(record.id()).isEmpty()) {
         Map<String, Integer> zones = new HashMap<>();
@@ -194,9 +194,9 @@
             zones.merge(shard.zone(), tasks, Integer::sum);
           }
         }
-        taken.add(new RunningJob(record.job().jobClass(), record.acceptedMs(), zones));
+        jobs.add(new RunningJob(record.job().jobClass(), record.acceptedMs(), zones));
       }
     }
-    return taken;
+    return jobs;
   }
 }
--- a/src/main/java/org/quincecross/state/StarvationTracker.java
+++ b/src/main/java/org/quincecross/state/StarvationTracker.java
@@ -70,8 +70,8 @@
     TaskSet done = cache.completedTasks(job);
     int given = done.size();
     for (ShardId shard : cache.shardsOf(job)) {
-      TaskSet there = cache.allocation(shard).tasks().get(job);
-      given += there == null ? 0 : there.size() - there.intersectionSize(done);
+      TaskSet allocated = cache.allocation(shard).tasks().get(job);
+      given += allocated == null ? 0 : allocated.size() - allocated.intersectionSize(done);
     }
     return given;
   }
--- a/src/main/java/org/quincecross/state/StateWatcher.java
+++ b/src/main/java/org/quincecross/state/StateWatcher.java
@@ -115,7 +115,7 @@
       String after,
       Map<String, ClusterStateCache.StateEntry> entries,
       Revision first,
-      MonotonicTime begun) {
+      MonotonicTime startedAt) {
     store.read(
         KeyValueStoreCodec.listPath(StoreKeys.ROOT, after, PAGE_SIZE),
         TimeSpan.ofSeconds(5),
@@ -133,9 +133,9 @@
             }
             Revision from = first == null ? page.revision() : first;
             if (page.more()) {
-              readPage(mine, last, entries, from, begun);
+              readPage(mine, last, entries, from, startedAt);
             } else {
-              finishLoad(entries, from, begun);
+              finishLoad(entries, from, startedAt);
             }
           } catch (MalformedMessageException e) {
             LOG.debug("reading all records failed: {}", e.getMessage());
@@ -151,7 +151,7 @@
   }
 
   private void finishLoad(
-      Map<String, ClusterStateCache.StateEntry> entries, Revision from, MonotonicTime begun) {
+      Map<String, ClusterStateCache.StateEntry> entries, Revision from, MonotonicTime startedAt) {
     // Pages are read one after the other at possibly different revisions, so the changes since the
     // first page are applied before anyone uses the records.
     enter(State.CATCHING_UP);
@@ -178,8 +178,8 @@
               }
             }
             enter(State.WATCHING);
-            confirmedAt = begun;
-            lastBarrierStart = begun;
+            confirmedAt = startedAt;
+            lastBarrierStart = startedAt;
             LOG.info("all records read: {} keys at revision {}", entries.size(), page.revision());
             cache.load(entries, page.revision());
             watch();
--- a/src/main/java/org/quincecross/state/TerminationProof.java
+++ b/src/main/java/org/quincecross/state/TerminationProof.java
@@ -60,9 +60,9 @@
     tasks.forEach(
         (job, set) -> {
           for (ShardId shard : cache.shardsOf(job)) {
-            TaskSet there = cache.allocation(shard).tasks().getOrDefault(job, new TaskSet());
+            TaskSet allocated = cache.allocation(shard).tasks().getOrDefault(job, new TaskSet());
             TaskSet still = new TaskSet();
-            for (int i = there.nextMember(0); i >= 0; i = there.nextMember(i + 1)) {
+            for (int i = allocated.nextMember(0); i >= 0; i = allocated.nextMember(i + 1)) {
               if (set.contains(i) && !cache.isCompleted(job, i)) {
                 still.add(i);
               }
