--- a/src/main/java/org/quincecross/emulator/UserSimulator.java
+++ b/src/main/java/org/quincecross/emulator/UserSimulator.java
@@ -155,7 +155,8 @@
           POLL_TIMEOUT_S,
           outcome -> {
             if (outcome.status() == 200) {
-              throw new IllegalStateException("invented " + id);
+              throw new IllegalStateException(
+                  "a controller reported a job that nobody submitted: " + id);
             }
           });
       environment
--- a/src/main/java/org/quincecross/state/CompletedTaskTable.java
+++ b/src/main/java/org/quincecross/state/CompletedTaskTable.java
@@ -75,7 +75,7 @@
     JobId job = slash < 0 ? null : JobId.parse(name.substring(0, slash));
     String digits = name.substring(slash + 1);
     if (job == null || digits.length() > MAX_CHUNK_DIGITS || !digits.matches("[0-9]+")) {
-      throw new MalformedMessageException("bad key");
+      throw new MalformedMessageException("malformed key of a completed-task record");
     }
     int number = Integer.parseInt(digits);
     touched.accept(job);
@@ -101,7 +101,7 @@
   void putPage(String name, Object value, JobIndex jobs, Consumer<JobId> touched)
       throws MalformedMessageException {
     if (!name.matches("[0-9]{1,6}") || value == null) {
-      throw new MalformedMessageException("bad key");
+      throw new MalformedMessageException("malformed key of a completed-task record");
     }
     Map<JobId, TaskSet> sets = TaskSetCodec.read(JsonFields.of(value, "a page").fields("jobs"));
     pages.put(Integer.parseInt(name), sets);
--- a/src/main/java/org/quincecross/state/JobDependencies.java
+++ b/src/main/java/org/quincecross/state/JobDependencies.java
@@ -115,7 +115,7 @@
     for (String digits : line.split(" ")) {
       JobId id = JobId.parseDigits(digits);
       if (id == null) {
-        throw new MalformedMessageException("jobs to wait on that are no ids");
+        throw new MalformedMessageException("dependencies that are not job ids");
       }
       ids.add(id);
     }
--- a/src/main/java/org/quincecross/state/ReplicatedRecordIndexes.java
+++ b/src/main/java/org/quincecross/state/ReplicatedRecordIndexes.java
@@ -55,7 +55,7 @@
     if (index == null) {
       if (value instanceof Map<?, ?> map && Boolean.TRUE.equals(map.get("must"))) {
         throw new MalformedMessageException(
-            "a record of a kind that this build does not know, and that keeps tasks from running");
+            "a record of a kind that this build does not know, and that may block tasks");
       }
       return null;
     }
@@ -71,7 +71,7 @@
     try {
       return Integer.parseInt(id.substring(StoreKeys.AUDIT_PAGE_PREFIX.length()));
     } catch (NumberFormatException e) {
-      throw new MalformedMessageException("bad key of a page");
+      throw new MalformedMessageException("malformed key of an audit page");
     }
   }
 
--- a/src/main/java/org/quincecross/state/ShardLease.java
+++ b/src/main/java/org/quincecross/state/ShardLease.java
@@ -57,7 +57,7 @@
           || !(pair.get(0) instanceof String name)
           || !(pair.get(1) instanceof String address)
           || Endpoint.parse(address) == null) {
-        throw new MalformedMessageException("bad machine in a block");
+        throw new MalformedMessageException("malformed machine in a shard record");
       }
       MachineId machine = new MachineId(name);
       machines.put(machine, new Machine(machine, Endpoint.parse(address), type, zone, spot));
