--- a/src/main/java/org/quincecross/admin/ModelDemandCollector.java
+++ b/src/main/java/org/quincecross/admin/ModelDemandCollector.java
@@ -164,7 +164,7 @@
         .submit(
             records.book(),
             name,
-            RecordCommand.own(new ModelCommand.Wake()),
+            RecordCommand.internal(new ModelCommand.Wake()),
             answer -> {
               submitting.remove(name);
               if (answer.status() >= 400 && answer.status() < 500) {
--- a/src/main/java/org/quincecross/api/AgentApi.java
+++ b/src/main/java/org/quincecross/api/AgentApi.java
@@ -140,11 +140,11 @@
       }
       return;
     }
-    foreignHeartbeats.heard(heartbeat, timers.now());
+    foreignHeartbeats.onForeignHeartbeat(heartbeat, timers.now());
     // An agent that is redirected to a controller which it cannot reach loses five seconds of its
     // lease, and a short lease does not allow that (docs/incidents/inc-6ced.md). The leader is told
     // of the machine and moves the shard.
-    if (cache.members().containsKey(lease.owner()) && !isUnheard(lease, machine)) {
+    if (cache.members().containsKey(lease.owner()) && !isReportedUnreachable(lease, machine)) {
       redirect(lease.owner(), reply);
     } else {
       waitForLease(heartbeat, until, reply);
@@ -152,7 +152,7 @@
   }
 
   /** Whether the owner of a shard itself reports that it has not heard a machine for a while. */
-  private boolean isUnheard(ShardLease lease, MachineId machine) {
+  private boolean isReportedUnreachable(ShardLease lease, MachineId machine) {
     PeerViews.View view = views.of(lease.owner());
     if (view == null || timers.now().since(view.at()).isLongerThan(MAX_VIEW_AGE)) {
       return false;
--- a/src/main/java/org/quincecross/api/ForeignHeartbeats.java
+++ b/src/main/java/org/quincecross/api/ForeignHeartbeats.java
@@ -35,14 +35,14 @@
     }
   }
 
-  private final Map<MachineId, LastHeartbeat> heard = new HashMap<>();
+  private final Map<MachineId, LastHeartbeat> lastHeartbeats = new HashMap<>();
   private MonotonicTime cleanedUpAt = new MonotonicTime(0);
 
   /**
    * Called when a machine of another controller's shard has reported here, or a copy of a heartbeat
    * arrived.
    */
-  void heard(Heartbeat heartbeat, MonotonicTime now) {
+  void onForeignHeartbeat(Heartbeat heartbeat, MonotonicTime now) {
     record(heartbeat, now, true);
   }
 
@@ -53,11 +53,11 @@
 
   private void record(Heartbeat heartbeat, MonotonicTime now, boolean foreign) {
     MachineId machine = heartbeat.machine().id();
-    LastHeartbeat before = heard.get(machine);
+    LastHeartbeat before = lastHeartbeats.get(machine);
     if (before == null
         || before.isBefore(heartbeat)
         || now.since(before.at()).isLongerThan(REMEMBERED)) {
-      heard.put(
+      lastHeartbeats.put(
           machine, new LastHeartbeat(heartbeat.session(), heartbeat.sequence(), now, foreign));
     }
   }
@@ -65,9 +65,9 @@
   List<MachineId> recentMachines(MonotonicTime now) {
     if (now.since(cleanedUpAt).isLongerThan(FOREIGN_FOR)) {
       cleanedUpAt = now;
-      heard.values().removeIf(each -> now.since(each.at()).isLongerThan(REMEMBERED));
+      lastHeartbeats.values().removeIf(each -> now.since(each.at()).isLongerThan(REMEMBERED));
     }
-    return heard.entrySet().stream()
+    return lastHeartbeats.entrySet().stream()
         .filter(
             each ->
                 each.getValue().foreign()
--- a/src/main/java/org/quincecross/failuredetection/ReachabilityMap.java
+++ b/src/main/java/org/quincecross/failuredetection/ReachabilityMap.java
@@ -20,7 +20,7 @@
   /** The pause before the first probe; doubled by each failure. */
   static final TimeSpan FIRST_PAUSE = TimeSpan.ofSeconds(12);
 
-  static final TimeSpan LONGEST_PAUSE = TimeSpan.ofSeconds(96);
+  static final TimeSpan MAX_PAUSE = TimeSpan.ofSeconds(96);
 
   /** A probe without an outcome for this long has failed. */
   static final TimeSpan TRIAL_TIMEOUT = TimeSpan.ofSeconds(12);
@@ -58,8 +58,7 @@
 
   private static void pause(Reachability entry, MonotonicTime now) {
     enter(entry, State.DEAF, now.plus(entry.pause));
-    entry.pause =
-        entry.pause.times(2).isLongerThan(LONGEST_PAUSE) ? LONGEST_PAUSE : entry.pause.times(2);
+    entry.pause = entry.pause.times(2).isLongerThan(MAX_PAUSE) ? MAX_PAUSE : entry.pause.times(2);
   }
 
   /**
@@ -98,7 +97,7 @@
     }
     if (!now.isBefore(entry.until)) {
       switch (entry.state) {
-        case DEAF -> enter(entry, State.TO_BE_TRIED, entry.until.plus(LONGEST_PAUSE));
+        case DEAF -> enter(entry, State.TO_BE_TRIED, entry.until.plus(MAX_PAUSE));
         case ON_TRIAL -> pause(entry, now);
         case TO_BE_TRIED -> {
           // No shard was available for a probe for so long that the record is outdated.
--- a/src/main/java/org/quincecross/failuredetection/ShardMovePolicy.java
+++ b/src/main/java/org/quincecross/failuredetection/ShardMovePolicy.java
@@ -21,7 +21,7 @@
    */
   static final TimeSpan FIRST_PAUSE = TimeSpan.ofSeconds(36);
 
-  static final TimeSpan LONGEST_PAUSE = TimeSpan.ofSeconds(288);
+  static final TimeSpan MAX_PAUSE = TimeSpan.ofSeconds(288);
 
   /** The states of a machine with regard to the controllers. */
   public enum State {
@@ -51,13 +51,13 @@
   }
 
   /** Called when a shard was moved because these machines of it sent heartbeats to others. */
-  public void moved(Collection<MachineId> machines, MonotonicTime now) {
+  public void recordMove(Collection<MachineId> machines, MonotonicTime now) {
     for (MachineId machine : machines) {
       MachineMoves machineMoves = moves.computeIfAbsent(machine, id -> new MachineMoves());
       enter(machineMoves, State.MOVED, now.plus(machineMoves.pause));
       machineMoves.pause =
-          machineMoves.pause.times(2).isLongerThan(LONGEST_PAUSE)
-              ? LONGEST_PAUSE
+          machineMoves.pause.times(2).isLongerThan(MAX_PAUSE)
+              ? MAX_PAUSE
               : machineMoves.pause.times(2);
     }
   }
--- a/src/main/java/org/quincecross/leader/Autoscaler.java
+++ b/src/main/java/org/quincecross/leader/Autoscaler.java
@@ -44,9 +44,12 @@
   /**
    * The reported states of machines.
    *
-   * @param strays the machines that report to a controller other than their shard's owner
+   * @param machinesReportingElsewhere the machines that report to a controller other than their
+   *     shard's owner
    */
-  public record View(Map<MachineId, PeerHeartbeat.MachineState> machines, Set<MachineId> strays) {}
+  public record View(
+      Map<MachineId, PeerHeartbeat.MachineState> machines,
+      Set<MachineId> machinesReportingElsewhere) {}
 
   private final Timers timers;
   private final CloudClient cloud;
--- a/src/main/java/org/quincecross/leader/LegalHoldReconciler.java
+++ b/src/main/java/org/quincecross/leader/LegalHoldReconciler.java
@@ -110,7 +110,7 @@
         Map<JobId, TaskSet> out =
             proof.state() == TerminationProof.State.HELD
                 ? together(proof)
-                : startBlock.disturbed(reference);
+                : startBlock.newAccesses(reference);
         if (!out.isEmpty()) {
           // A claim or sweep class was recorded after these tasks had started.
           submit(
@@ -154,12 +154,12 @@
    * leader derives the same notes.
    */
   private List<LegalHoldCommand.Note> touchedNotes(String reference, LegalHold hold) {
-    LegalHoldStartBlock.Touched touched = startBlock.touched(reference);
+    LegalHoldStartBlock.AccessingTasks touched = startBlock.accessingTasks(reference);
     List<LegalHoldCommand.Note> notes = new ArrayList<>();
     if (touched == null || hold.scope() > 0) {
       return notes;
     }
-    TaskListing.parts(touched.out())
+    TaskListing.parts(touched.running())
         .forEach(
             part ->
                 notes.add(
@@ -231,7 +231,7 @@
         .submit(
             startBlock.holds(),
             reference,
-            RecordCommand.own(command),
+            RecordCommand.internal(command),
             answer -> {
               pendingCommands.remove(reference);
               if (!answer.isDurable()) {
--- a/src/main/java/org/quincecross/leader/LegalHoldStartBlock.java
+++ b/src/main/java/org/quincecross/leader/LegalHoldStartBlock.java
@@ -51,14 +51,19 @@
   private static final int MAX_FINISHED_SWEEPS = 500;
 
   private static final TimeSpan LATELY = TimeSpan.ofSeconds(600);
-  private static final int MOST_NAMED = 5;
-  private static final int MOST_ROWS = 200;
+  private static final int MAX_NAMED_REFERENCES = 5;
+  private static final int MAX_REPORT_ROWS = 200;
 
   /** The tasks that had accessed a hold's records when this controller first saw it in effect. */
-  record Touched(
-      int opening, int scope, Revision at, Map<JobId, TaskSet> out, Map<JobId, TaskSet> done) {}
+  record AccessingTasks(
+      int opening,
+      int scope,
+      Revision revision,
+      Map<JobId, TaskSet> running,
+      Map<JobId, TaskSet> done) {}
 
-  private record Over(JobId job, List<RecordSelector> series, TaskSet tasks, MonotonicTime at) {}
+  private record EndedSweep(
+      JobId job, List<RecordSelector> series, TaskSet tasks, MonotonicTime at) {}
 
   private final ReplicatedFeatureContext base;
   private final ClusterStateCache cache;
@@ -67,10 +72,10 @@
   private final ReplicatedRecordIndex<List<RecordSelector>, List<RecordSelector>> sweeps;
   private final LegalHoldIndex index = new LegalHoldIndex();
   private final Map<String, Integer> future = new TreeMap<>();
-  private final Map<String, Touched> touched = new HashMap<>();
-  private final Map<String, Touched> disturbed = new HashMap<>();
+  private final Map<String, AccessingTasks> accessingTasks = new HashMap<>();
+  private final Map<String, AccessingTasks> newAccesses = new HashMap<>();
   private final Set<String> changedHolds = new LinkedHashSet<>();
-  private final ArrayDeque<Over> finishedSweeps = new ArrayDeque<>();
+  private final ArrayDeque<EndedSweep> finishedSweeps = new ArrayDeque<>();
   private final Map<JobId, Job> sweeping = new HashMap<>();
   private long latestMs;
   private MonotonicTime latestAt;
@@ -87,7 +92,7 @@
     sweeps = cache.replicatedRecords().add(new SweepClassKind());
     base.startBlock().add(this);
     cache.addListener(this::changed);
-    base.timers().every(INTERVAL, this::look);
+    base.timers().every(INTERVAL, this::applyDueHolds);
   }
 
   /**
@@ -145,7 +150,7 @@
     }
     if (changes.replicatedRecords().stream()
         .anyMatch(record -> !record.kind().equals(LegalHoldKind.NAME))) {
-      disturb(concerned);
+      recordNewAccesses(concerned);
     }
     notifyBlocked(concerned);
   }
@@ -154,16 +159,17 @@
    * Records tasks that access pinned records because of newly recorded claims or sweep classes,
    * before they are stopped.
    */
-  private void disturb(Set<JobId> concerned) {
+  private void recordNewAccesses(Set<JobId> concerned) {
     Set<String> references = new TreeSet<>();
     concerned.forEach(id -> references.addAll(index.holdsBlocking(id)));
     for (String reference : references) {
       LegalHold hold = holds.state(reference);
       Map<JobId, TaskSet> out =
-          hold.state() == LegalHold.State.PINNED ? look(hold).out() : Map.of();
+          hold.state() == LegalHold.State.PINNED ? findAccessingTasks(hold).running() : Map.of();
       if (!out.isEmpty()) {
-        disturbed.put(
-            reference, new Touched(hold.opening(), hold.scope(), cache.revision(), out, Map.of()));
+        newAccesses.put(
+            reference,
+            new AccessingTasks(hold.opening(), hold.scope(), cache.revision(), out, Map.of()));
       }
     }
   }
@@ -214,7 +220,7 @@
     if (endedJob != null) {
       List<RecordSelector> series = sweeps.state(endedJob.jobClass());
       finishedSweeps.add(
-          new Over(id, series, TaskSet.range(endedJob.taskCount()), base.timers().now()));
+          new EndedSweep(id, series, TaskSet.range(endedJob.taskCount()), base.timers().now()));
       while (finishedSweeps.size() > MAX_FINISHED_SWEEPS) {
         finishedSweeps.poll();
       }
@@ -226,7 +232,7 @@
   private void hold(String reference, Set<JobId> concerned) {
     LegalHold hold = holds.state(reference);
     boolean due = hold.isDue(now());
-    disturbed.computeIfPresent(
+    newAccesses.computeIfPresent(
         reference,
         (name, found) ->
             hold.state() == LegalHold.State.PINNED
@@ -240,19 +246,19 @@
       future.remove(reference);
     }
     if (hold.isInEffect() || due) {
-      Touched before = touched.get(reference);
+      AccessingTasks before = accessingTasks.get(reference);
       if (hold.state() == LegalHold.State.PINNED) {
-        touched.remove(reference); // already in the audit trail
+        accessingTasks.remove(reference); // already in the audit trail
       } else if (before == null
           || before.opening() != hold.opening()
           || before.scope() != hold.scope()) {
-        touched.put(reference, look(hold));
+        accessingTasks.put(reference, findAccessingTasks(hold));
       }
       if (!index.isInEffect(reference, hold.records())) {
         concerned.addAll(index.open(reference, hold.records()));
       }
     } else {
-      touched.remove(reference);
+      accessingTasks.remove(reference);
       concerned.addAll(index.close(reference));
     }
     changedHolds.add(reference);
@@ -262,7 +268,7 @@
    * The tasks that run or have run and access a hold's records, determined before any of them is
    * stopped.
    */
-  private Touched look(LegalHold hold) {
+  private AccessingTasks findAccessingTasks(LegalHold hold) {
     Map<JobId, TaskSet> out = new TreeMap<>();
     Map<JobId, TaskSet> done = new TreeMap<>();
     index
@@ -298,7 +304,7 @@
               }
             });
     MonotonicTime now = base.timers().now();
-    for (Over each : finishedSweeps) {
+    for (EndedSweep each : finishedSweeps) {
       if (!now.since(each.at()).isLongerThan(LATELY)
           && !done.containsKey(each.job())
           && !index.isTracked(each.job())
@@ -307,7 +313,7 @@
         done.put(each.job(), each.tasks());
       }
     }
-    return new Touched(hold.opening(), hold.scope(), cache.revision(), out, done);
+    return new AccessingTasks(hold.opening(), hold.scope(), cache.revision(), out, done);
   }
 
   static TaskSet common(TaskSet one, TaskSet other) {
@@ -321,7 +327,7 @@
   }
 
   /** Checks whether the start time of a hold has come. */
-  private void look() {
+  private void applyDueHolds() {
     if (!future.isEmpty()) {
       CommandOrigin at = now();
       Set<JobId> concerned = new LinkedHashSet<>();
@@ -346,17 +352,17 @@
   /**
    * The tasks that had accessed a hold's records when it took effect, as seen by this controller.
    */
-  Touched touched(String reference) {
-    return touched.get(reference);
+  AccessingTasks accessingTasks(String reference) {
+    return accessingTasks.get(reference);
   }
 
   /**
    * The running tasks that access the records of a pinned hold because of later claims or sweep
    * classes; empty if there are none.
    */
-  Map<JobId, TaskSet> disturbed(String reference) {
-    Touched found = disturbed.get(reference);
-    return found == null ? Map.of() : found.out();
+  Map<JobId, TaskSet> newAccesses(String reference) {
+    AccessingTasks found = newAccesses.get(reference);
+    return found == null ? Map.of() : found.running();
   }
 
   /** The tasks of unfinished jobs that access a hold's records. */
@@ -394,7 +400,7 @@
       if (after != null && reference.compareTo(after) <= 0) {
         continue;
       }
-      if (rows.size() >= MOST_ROWS) {
+      if (rows.size() >= MAX_REPORT_ROWS) {
         return Json.object("kind", "kept", "rows", rows, "next_after", last);
       }
       Map<JobId, TaskSet> kept = keptBack(touching(holds.state(reference)));
@@ -429,7 +435,7 @@
     if (references.isEmpty()) {
       return null;
     }
-    List<String> named = references.stream().limit(MOST_NAMED).toList();
+    List<String> named = references.stream().limit(MAX_NAMED_REFERENCES).toList();
     return "kept back by hold "
         + String.join(", ", named)
         + (references.size() > named.size()
--- a/src/main/java/org/quincecross/leader/MachineStateCollector.java
+++ b/src/main/java/org/quincecross/leader/MachineStateCollector.java
@@ -28,7 +28,7 @@
         addStates(shard, view, states);
       }
     }
-    return new Autoscaler.View(states, strays());
+    return new Autoscaler.View(states, machinesReportingElsewhere());
   }
 
   private void addStates(
@@ -44,14 +44,14 @@
   }
 
   /** The machines that report to a controller other than the owner of their shard. */
-  private Set<MachineId> strays() {
-    Set<MachineId> strays = new HashSet<>();
+  private Set<MachineId> machinesReportingElsewhere() {
+    Set<MachineId> machines = new HashSet<>();
     for (ControllerId member : context.cache().members().keySet()) {
       PeerViews.View view = context.currentViews().of(member);
       if (view != null) {
-        strays.addAll(view.strays());
+        machines.addAll(view.foreignMachines());
       }
     }
-    return strays;
+    return machines;
   }
 }
--- a/src/main/java/org/quincecross/leader/ModelAutoscaler.java
+++ b/src/main/java/org/quincecross/leader/ModelAutoscaler.java
@@ -210,7 +210,7 @@
         .submit(
             records.book(),
             name,
-            RecordCommand.own(command),
+            RecordCommand.internal(command),
             answer -> {
               pendingCommands.remove(name);
               if (!answer.isDurable()) {
--- a/src/main/java/org/quincecross/leader/PendingDemand.java
+++ b/src/main/java/org/quincecross/leader/PendingDemand.java
@@ -209,7 +209,7 @@
       // The job was submitted before its acceptance, which was timed by a clock that may have been
       // ahead.
       double age = monotonicAge(each.record, now) + 2 * settings.clockBound().seconds();
-      if (beginnings.isYoung(age)) {
+      if (beginnings.isTooYoungForPromotion(age)) {
         continue;
       }
       int done = each.account.completed().size();
@@ -267,7 +267,7 @@
                 return; // jobs with unfinished dependencies do not use the guarantee
               }
               boolean within =
-                  guarantee.covers(
+                  guarantee.addAndCheck(
                       account.job().taskResources(),
                       account.job().taskCount() - account.completed().size());
               TaskSet pool =
@@ -333,7 +333,7 @@
     }
 
     /** Adds a job's tasks; whether all demand so far is within the guarantee. */
-    boolean covers(Resources each, int tasks) {
+    boolean addAndCheck(Resources each, int tasks) {
       cpus += each.cpus() * tasks;
       gpus += each.gpus() * tasks;
       memoryGb += each.memoryGb() * tasks;
--- a/src/main/java/org/quincecross/leader/PendingReasons.java
+++ b/src/main/java/org/quincecross/leader/PendingReasons.java
@@ -14,7 +14,7 @@
 
 /** Explains in words what pending tasks wait for. */
 final class PendingReasons {
-  private static final int MOST_NAMED = 10;
+  private static final int MAX_NAMED_JOBS = 10;
 
   private final ClusterStateCache cache;
   private final AllocationIndex allocationIndex;
@@ -48,9 +48,12 @@
     Collection<JobId> unfinished = cache.dependencyGraph().unfinishedDependencies(id);
     if (!unfinished.isEmpty()) {
       return "waits for "
-          + unfinished.stream().limit(MOST_NAMED).map(JobId::text).collect(Collectors.joining(", "))
-          + (unfinished.size() > MOST_NAMED
-              ? " and " + (unfinished.size() - MOST_NAMED) + " more"
+          + unfinished.stream()
+              .limit(MAX_NAMED_JOBS)
+              .map(JobId::text)
+              .collect(Collectors.joining(", "))
+          + (unfinished.size() > MAX_NAMED_JOBS
+              ? " and " + (unfinished.size() - MAX_NAMED_JOBS) + " more"
               : "");
     }
     AllocationIndex.JobAllocation account = allocationIndex.get(id);
--- a/src/main/java/org/quincecross/leader/ReservationManager.java
+++ b/src/main/java/org/quincecross/leader/ReservationManager.java
@@ -141,7 +141,7 @@
     store.submit(
         index,
         reference,
-        RecordCommand.own(command),
+        RecordCommand.internal(command),
         answer -> {
           underWay--;
           if (!answer.isDurable() || !answer.reason().isEmpty()) {
--- a/src/main/java/org/quincecross/leader/ScaleInPolicy.java
+++ b/src/main/java/org/quincecross/leader/ScaleInPolicy.java
@@ -130,7 +130,7 @@
   Set<MachineId> evaluate(Autoscaler.View view, List<Admission.Unmet> unmet, MonotonicTime now) {
     FreeCapacity capacity =
         new FreeCapacity(cache, forecast, view, selected, operators.get().spareTasks(), now);
-    Situation situation = new Situation(view, capacity, unmet, isCalm(view, unmet, now), now);
+    Situation situation = new Situation(view, capacity, unmet, isIdle(view, unmet, now), now);
     consolidate(situation);
     selectIdle(situation);
     Set<MachineId> terminable = new HashSet<>();
@@ -142,8 +142,10 @@
   }
 
   /** Whether nothing waits for capacity, and nothing is in progress that may soon do so. */
-  private boolean isCalm(Autoscaler.View view, List<Admission.Unmet> unmet, MonotonicTime now) {
-    if (!operators.get().scaleIn() || !unmet.isEmpty() || !view.strays().isEmpty()) {
+  private boolean isIdle(Autoscaler.View view, List<Admission.Unmet> unmet, MonotonicTime now) {
+    if (!operators.get().scaleIn()
+        || !unmet.isEmpty()
+        || !view.machinesReportingElsewhere().isEmpty()) {
       return false;
     }
     long unfenced = view.machines().values().stream().filter(state -> !state.fenced()).count();
@@ -171,7 +173,7 @@
       return;
     }
     consolidateAfter = situation.now().plus(CONSOLIDATION_INTERVAL);
-    Map<MachineId, Double> usedShares = thinlyUsed(situation.view());
+    Map<MachineId, Double> usedShares = lightlyUsed(situation.view());
     List<MachineId> order = new ArrayList<>(usedShares.keySet());
     order.sort(
         Comparator.comparing((MachineId machine) -> usedShares.get(machine))
@@ -196,7 +198,7 @@
   }
 
   /** The machines that run only a few movable replicas, with the share in use of each. */
-  private Map<MachineId, Double> thinlyUsed(Autoscaler.View view) {
+  private Map<MachineId, Double> lightlyUsed(Autoscaler.View view) {
     Map<MachineId, Double> usedShares = new HashMap<>();
     view.machines()
         .forEach(
@@ -327,7 +329,7 @@
         .forEach(
             (machine, state) -> {
               if (state.silentFor().isLongerThan(unreachableTimeout(machine, networkFailure))
-                  && !view.strays().contains(machine)) {
+                  && !view.machinesReportingElsewhere().contains(machine)) {
                 unreachable.add(machine);
               }
             });
@@ -399,7 +401,7 @@
       PeerHeartbeat.MachineState state = view.machines().get(machine);
       if (state != null
           && state.silentFor().isLongerThan(spotTimeout())
-          && !view.strays().contains(machine)) {
+          && !view.machinesReportingElsewhere().contains(machine)) {
         terminable.add(machine);
       }
     }
--- a/src/main/java/org/quincecross/leader/ShardLeaseManager.java
+++ b/src/main/java/org/quincecross/leader/ShardLeaseManager.java
@@ -233,16 +233,16 @@
   private void moveUnreachableShards(Map<ShardId, ShardLease> next, Set<ShardId> deleted) {
     movePolicy.fenced(movePolicy.suspendedMachines().stream().filter(this::isFenced).toList());
     Map<ShardId, Map<ControllerId, Integer>> heardBy = new HashMap<>();
-    Map<ShardId, Set<MachineId>> strays = new HashMap<>();
+    Map<ShardId, Set<MachineId>> foreignMachinesByShard = new HashMap<>();
     for (ControllerRecord member : members()) {
       PeerViews.View view = currentViews.of(member.id());
-      for (MachineId machine : view == null ? Set.<MachineId>of() : view.strays()) {
+      for (MachineId machine : view == null ? Set.<MachineId>of() : view.foreignMachines()) {
         ShardLease shard = cache.shardOf(machine);
         if (shard != null
             && !shard.owner().equals(member.id())
             && isUnreachable(shard, machine)
             && movePolicy.state(machine, timers.now()) == ShardMovePolicy.State.COUNTS) {
-          strays.computeIfAbsent(shard.id(), id -> new HashSet<>()).add(machine);
+          foreignMachinesByShard.computeIfAbsent(shard.id(), id -> new HashSet<>()).add(machine);
           heardBy
               .computeIfAbsent(shard.id(), id -> new TreeMap<>())
               .merge(member.id(), 1, Integer::sum);
@@ -254,7 +254,7 @@
           ShardLease shard = cache.shard(id);
           // The machines may have gone to several controllers, so half of them reporting elsewhere
           // is enough. An unreachable controller is offered each shard only once.
-          int machines = strays.get(id).size();
+          int machines = foreignMachinesByShard.get(id).size();
           if (machines * 2 > shard.machines().size()
               && !next.containsKey(id)
               && !deleted.contains(id)) {
@@ -266,7 +266,7 @@
                 shard.owner(),
                 member);
             reachability.unreachable(shard.owner(), shard.zone(), timers.now());
-            movePolicy.moved(strays.get(id), timers.now());
+            movePolicy.recordMove(foreignMachinesByShard.get(id), timers.now());
             next.put(id, shard.leasedTo(cache.members().get(member)));
           }
         });
--- a/src/main/java/org/quincecross/overload/StartGuarantee.java
+++ b/src/main/java/org/quincecross/overload/StartGuarantee.java
@@ -80,7 +80,7 @@
   }
 
   /** Whether a job of this age is too young to be promoted; such jobs need not be evaluated. */
-  public boolean isYoung(double ageS) {
+  public boolean isTooYoungForPromotion(double ageS) {
     return !isEnabled() || ageS < guaranteedS - Math.min(guaranteedS, MAX_PROMOTION_LEAD_S);
   }
 
--- a/src/main/java/org/quincecross/peer/PeerCodec.java
+++ b/src/main/java/org/quincecross/peer/PeerCodec.java
@@ -50,7 +50,7 @@
       }
       out.packLong(heartbeat.cacheRevision().value());
       out.packLong(heartbeat.sinceStoreContact().nanos());
-      writeTexts(out, heartbeat.strays().stream().map(MachineId::text).toList());
+      writeTexts(out, heartbeat.foreignMachines().stream().map(MachineId::text).toList());
       out.packArrayHeader(heartbeat.shards().size());
       for (PeerHeartbeat.ShardStatus shardStatus : heartbeat.shards()) {
         writeShard(out, shardStatus);
@@ -180,7 +180,7 @@
       }
       Revision ledger = new Revision(in.unpackLong());
       TimeSpan unconfirmed = new TimeSpan(in.unpackLong());
-      List<MachineId> strays = readTexts(in).stream().map(MachineId::new).toList();
+      List<MachineId> foreignMachines = readTexts(in).stream().map(MachineId::new).toList();
       List<PeerHeartbeat.ShardStatus> shards = new ArrayList<>();
       for (int i = checkedCount(in.unpackArrayHeader()); i > 0; i--) {
         shards.add(readShard(in));
@@ -198,7 +198,7 @@
           ledger,
           unconfirmed,
           shards,
-          strays,
+          foreignMachines,
           sections);
     } catch (IOException | MessagePackException e) {
       throw new MalformedMessageException("unreadable peer report");
--- a/src/main/java/org/quincecross/peer/PeerHeartbeat.java
+++ b/src/main/java/org/quincecross/peer/PeerHeartbeat.java
@@ -25,7 +25,7 @@
  * @param cacheRevision the sender's cache and the owners of its shards have applied everything up
  *     to this revision
  * @param sinceStoreContact the time since the sender's last contact with the store
- * @param strays machines of other controllers' shards that report to the sender
+ * @param foreignMachines machines of other controllers' shards that report to the sender
  * @param sections reports of optional features, by name, always whole; unknown ones are ignored
  */
 public record PeerHeartbeat(
@@ -37,7 +37,7 @@
     Revision cacheRevision,
     TimeSpan sinceStoreContact,
     List<ShardStatus> shards,
-    List<MachineId> strays,
+    List<MachineId> foreignMachines,
     Map<String, byte[]> sections) {
   /** Creates a report without sections. */
   public PeerHeartbeat(
@@ -46,12 +46,21 @@
       long number,
       long base,
       Map<ControllerId, Receipt> receipts,
-      Revision ledger,
-      TimeSpan unconfirmed,
+      Revision cacheRevision,
+      TimeSpan sinceStoreContact,
       List<ShardStatus> shards,
-      List<MachineId> strays) {
+      List<MachineId> foreignMachines) {
     this(
-        member, incarnation, number, base, receipts, ledger, unconfirmed, shards, strays, Map.of());
+        member,
+        incarnation,
+        number,
+        base,
+        receipts,
+        cacheRevision,
+        sinceStoreContact,
+        shards,
+        foreignMachines,
+        Map.of());
   }
 
   /**
--- a/src/main/java/org/quincecross/peer/PeerViews.java
+++ b/src/main/java/org/quincecross/peer/PeerViews.java
@@ -49,7 +49,7 @@
     private MonotonicTime at;
     private Revision cacheRevision = Revision.NONE;
     private TimeSpan sinceStoreContact = TimeSpan.ZERO;
-    private Set<MachineId> strays = Set.of();
+    private Set<MachineId> foreignMachines = Set.of();
     private Map<String, byte[]> sections = Map.of();
 
     private View(Incarnation incarnation, MonotonicTime at) {
@@ -83,8 +83,8 @@
     }
 
     /** The machines of other controllers' shards that report to it. */
-    public Set<MachineId> strays() {
-      return strays;
+    public Set<MachineId> foreignMachines() {
+      return foreignMachines;
     }
 
     /** The reports of optional features, by name. */
@@ -141,7 +141,7 @@
     view.at = now;
     view.cacheRevision = heartbeat.cacheRevision();
     view.sinceStoreContact = heartbeat.sinceStoreContact();
-    view.strays = new HashSet<>(heartbeat.strays());
+    view.foreignMachines = new HashSet<>(heartbeat.foreignMachines());
     view.sections = heartbeat.sections();
     Set<ShardId> changed = new HashSet<>();
     if (heartbeat.base() == 0) {
--- a/src/main/java/org/quincecross/protocol/AgentCodec.java
+++ b/src/main/java/org/quincecross/protocol/AgentCodec.java
@@ -98,7 +98,7 @@
   }
 
   /** The protocol's word for an exit reason. */
-  public static String exitWord(ExitReason reason) {
+  public static String exitReasonName(ExitReason reason) {
     for (Map.Entry<String, ExitReason> word : CAUSES.entrySet()) {
       if (word.getValue() == reason) {
         return word.getKey();
--- a/src/main/java/org/quincecross/quarantine/FaultEvidence.java
+++ b/src/main/java/org/quincecross/quarantine/FaultEvidence.java
@@ -57,7 +57,7 @@
   static final TimeSpan ROUND_LENGTH = TimeSpan.ofSeconds(1);
 
   static final TimeSpan FIRST_DECLINE = TimeSpan.ofSeconds(30);
-  static final TimeSpan LONGEST_DECLINE = TimeSpan.ofSeconds(600);
+  static final TimeSpan MAX_DECLINE_TIME = TimeSpan.ofSeconds(600);
 
   /** Failures of a job on a machine since anything last ran there. */
   private static final class Failures {
@@ -187,7 +187,7 @@
     declined.put(
         job,
         new Declined(
-            now.plus(pause.isLongerThan(LONGEST_DECLINE) ? LONGEST_DECLINE : pause), times));
+            now.plus(pause.isLongerThan(MAX_DECLINE_TIME) ? MAX_DECLINE_TIME : pause), times));
   }
 
   public boolean isDeclined(JobId job, MonotonicTime now) {
--- a/src/main/java/org/quincecross/quarantine/SuspectJobs.java
+++ b/src/main/java/org/quincecross/quarantine/SuspectJobs.java
@@ -23,7 +23,7 @@
   static final int SUSPECT_AT = 3;
 
   static final TimeSpan FIRST_PAUSE = TimeSpan.ofSeconds(15);
-  static final TimeSpan LONGEST_PAUSE = TimeSpan.ofSeconds(120);
+  static final TimeSpan MAX_PAUSE = TimeSpan.ofSeconds(120);
 
   /** A trial that has run for this long clears the job. */
   static final TimeSpan CLEARED_AFTER = TimeSpan.ofSeconds(5);
@@ -74,7 +74,7 @@
     double spread = 0.75 + 0.5 * Math.floorMod((job.hashCode() * 0x9E3779B1L) >> 16, 100) / 100.0;
     suspect.until = now.plus(suspect.pause.times(spread));
     suspect.pause =
-        suspect.pause.times(2).isLongerThan(LONGEST_PAUSE) ? LONGEST_PAUSE : suspect.pause.times(2);
+        suspect.pause.times(2).isLongerThan(MAX_PAUSE) ? MAX_PAUSE : suspect.pause.times(2);
     suspect.runningSince = null;
     setState(suspect, State.PAUSED);
   }
--- a/src/main/java/org/quincecross/quota/Entitlement.java
+++ b/src/main/java/org/quincecross/quota/Entitlement.java
@@ -88,7 +88,7 @@
       this.dominantShare = dominantShare;
     }
 
-    boolean wants(int resource) {
+    boolean isUnsatisfied(int resource) {
       return wanted[resource] > EPSILON;
     }
   }
@@ -186,7 +186,7 @@
 
   private static boolean lacksResource(Claimant claimant, boolean[] exhausted) {
     for (int r = 0; r < RESOURCES; r++) {
-      if (exhausted[r] && claimant.wants(r)) {
+      if (exhausted[r] && claimant.isUnsatisfied(r)) {
         return true;
       }
     }
--- a/src/main/java/org/quincecross/scheduling/Admission.java
+++ b/src/main/java/org/quincecross/scheduling/Admission.java
@@ -626,7 +626,7 @@
         .fitsIn(
             shard
                 .capacity
-                .minus(headroom.betterLeftTo(job, shard.id, shard.machine))
+                .minus(headroom.preferablyAvoided(job, shard.id, shard.machine))
                 .minus(shard.usedFrom(Priority.LOW)));
   }
 
--- a/src/main/java/org/quincecross/scheduling/Headroom.java
+++ b/src/main/java/org/quincecross/scheduling/Headroom.java
@@ -99,7 +99,7 @@
   }
 
   /** Whether it only names borrowers: such a shard keeps nothing free. */
-  boolean keepsNothing() {
+  boolean reservesNothing() {
     return purpose != Purpose.REQUESTS && machines == 0;
   }
 
--- a/src/main/java/org/quincecross/scheduling/HeadroomPlan.java
+++ b/src/main/java/org/quincecross/scheduling/HeadroomPlan.java
@@ -118,7 +118,7 @@
     Resources kept = null;
     Resources requests = null;
     for (Headroom headroom : reserves.getOrDefault(shard, List.of())) {
-      if (!headroom.isKeptFrom(job, machine) || headroom.keepsNothing()) {
+      if (!headroom.isKeptFrom(job, machine) || headroom.reservesNothing()) {
         continue;
       }
       if (guaranteedStart && headroom.purpose() != Headroom.Purpose.REQUESTS) {
@@ -140,7 +140,7 @@
   }
 
   /** The capacity of a shard that a job may use but should prefer to leave to others. */
-  Resources betterLeftTo(Job job, ShardId shard, Resources machine) {
+  Resources preferablyAvoided(Job job, ShardId shard, Resources machine) {
     Resources kept = Resources.NONE;
     for (Headroom headroom : reserves.getOrDefault(shard, List.of())) {
       kept = headroom.isBetterAvoided(job, machine) ? kept.plus(headroom.total()) : kept;
--- a/src/main/java/org/quincecross/shard/UnplacedReasons.java
+++ b/src/main/java/org/quincecross/shard/UnplacedReasons.java
@@ -15,7 +15,7 @@
     Map<String, Integer> counts = new TreeMap<>();
     for (Placement placement : state.placements().ofJob(job)) {
       String what =
-          what(
+          waitReason(
               placement,
               placement.machine() == null ? null : state.sessions().get(placement.machine()));
       if (what != null) {
@@ -34,7 +34,7 @@
     return waits;
   }
 
-  private static String what(Placement placement, AgentSession session) {
+  private static String waitReason(Placement placement, AgentSession session) {
     return switch (placement.state()) {
       case UNSETTLED ->
           "not to be started before every machine there has shown the present token or is proven gone";
--- a/src/main/java/org/quincecross/state/DemandForecast.java
+++ b/src/main/java/org/quincecross/state/DemandForecast.java
@@ -150,12 +150,12 @@
     headroomForPlan.clear();
     for (ShardId shard : cache.shards().keySet()) {
       List<Headroom> kept = headroomByShard.getOrDefault(shard, List.of(NO_HEADROOM));
-      headroomForPlan.put(shard, lent(kept, toPlan));
-      headroomByShard.put(shard, lent(kept, toStart));
+      headroomForPlan.put(shard, lentTo(kept, toPlan));
+      headroomByShard.put(shard, lentTo(kept, toStart));
     }
   }
 
-  private static List<Headroom> lent(List<Headroom> kept, Set<JobId> jobs) {
+  private static List<Headroom> lentTo(List<Headroom> kept, Set<JobId> jobs) {
     return kept.stream()
         .map(each -> each.purpose() == Headroom.Purpose.REQUESTS ? each : each.lentTo(jobs))
         .toList();
--- a/src/main/java/org/quincecross/state/JobIndex.java
+++ b/src/main/java/org/quincecross/state/JobIndex.java
@@ -52,7 +52,7 @@
    */
   private final Map<String, Set<JobId>> jobsByMissingPart = new HashMap<>();
 
-  private final DependencyGraph dependencyGraph = new DependencyGraph(this::own);
+  private final DependencyGraph dependencyGraph = new DependencyGraph(this::ownState);
   private final UrgencyPropagation urgencies = new UrgencyPropagation(this::asks, dependencyGraph);
   private final Predicate<JobId> hasOwnRecord;
   private final Consumer<JobId> touched;
@@ -68,7 +68,7 @@
     this.touched = touched;
   }
 
-  private DependencyGraph.JobState own(JobId id) {
+  private DependencyGraph.JobState ownState(JobId id) {
     JobRecord record = jobs.get(id);
     return record == null
         ? null
@@ -247,10 +247,10 @@
     if (with != null) {
       open.remove(record);
       cancelledByDependency.put(id, record.cancelledByDependency(with.since(), with.atMs()));
-      lookAround(id);
+      updateNeighbours(id);
     } else {
       if (cancelledByDependency.remove(id) != null) {
-        lookAround(id);
+        updateNeighbours(id);
       }
       if (record.phase() == JobPhase.OPEN) {
         open.add(record);
@@ -259,7 +259,7 @@
     touched.accept(id);
   }
 
-  private void lookAround(JobId id) {
+  private void updateNeighbours(JobId id) {
     List<JobId> neighbours = new ArrayList<>(dependencyGraph.unfinishedDependencies(id));
     neighbours.add(id);
     urgencies.update(neighbours, this::deriveUrgency);
--- a/src/main/java/org/quincecross/state/QuotaRecord.java
+++ b/src/main/java/org/quincecross/state/QuotaRecord.java
@@ -52,7 +52,7 @@
   private static void write(NodePath above, List<NodeSpec> specs, List<Object> nodes) {
     for (NodeSpec spec : specs) {
       NodePath path = above.child(spec.name());
-      Map<String, Object> out = Json.object("path", path.text(), "kind", word(spec.kind()));
+      Map<String, Object> out = Json.object("path", path.text(), "kind", kindName(spec.kind()));
       if (spec.pattern() != null) {
         out.put("pattern", spec.pattern());
       }
@@ -66,7 +66,7 @@
     }
   }
 
-  private static String word(NodeSpec.Kind kind) {
+  private static String kindName(NodeSpec.Kind kind) {
     return KINDS.entrySet().stream()
         .filter(entry -> entry.getValue() == kind)
         .map(Map.Entry::getKey)
--- a/src/main/java/org/quincecross/state/RecordCommand.java
+++ b/src/main/java/org/quincecross/state/RecordCommand.java
@@ -12,7 +12,7 @@
   private static final long ANY_CHANGE = -1;
 
   /** A command of a controller itself, repeated only if the record's state requires it. */
-  public static <C> RecordCommand<C> own(C command) {
+  public static <C> RecordCommand<C> internal(C command) {
     return new RecordCommand<>(null, ANY_CHANGE, command, "");
   }
 }
--- a/src/main/java/org/quincecross/state/StarvationTracker.java
+++ b/src/main/java/org/quincecross/state/StarvationTracker.java
@@ -86,7 +86,7 @@
    * The jobs that are starving: a plan may place one task, or a whole gang, of each into headroom.
    */
   Set<JobId> starvingForPlan(MonotonicTime now) {
-    return those(wait -> isLong(wait.since, now));
+    return jobsWhere(wait -> isLong(wait.since, now));
   }
 
   /**
@@ -94,14 +94,14 @@
    * allocated more since.
    */
   Set<JobId> starvingForStart(MonotonicTime now) {
-    return those(wait -> wait.lent != null && !isLong(wait.lent, now));
+    return jobsWhere(wait -> wait.lent != null && !isLong(wait.lent, now));
   }
 
   private static boolean isLong(MonotonicTime since, MonotonicTime now) {
     return now.since(since).isLongerThan(THRESHOLD);
   }
 
-  private Set<JobId> those(Predicate<Wait> which) {
+  private Set<JobId> jobsWhere(Predicate<Wait> which) {
     Set<JobId> jobs = new HashSet<>();
     waitByJob.forEach(
         (job, wait) -> {
--- a/src/test/java/org/quincecross/failuredetection/OneWayPartitionDetectorTest.java
+++ b/src/test/java/org/quincecross/failuredetection/OneWayPartitionDetectorTest.java
@@ -75,10 +75,10 @@
   void machineMovesItsShardOnceUntilFencedOrAfterGrowingPause() {
     ShardMovePolicy policy = new ShardMovePolicy();
     MachineId machine = new MachineId("m");
-    policy.moved(List.of(machine), at(0));
+    policy.recordMove(List.of(machine), at(0));
     assertEquals(ShardMovePolicy.State.MOVED, policy.state(machine, at(35)));
     assertEquals(ShardMovePolicy.State.COUNTS, policy.state(machine, at(36)));
-    policy.moved(List.of(machine), at(36));
+    policy.recordMove(List.of(machine), at(36));
     assertEquals(ShardMovePolicy.State.MOVED, policy.state(machine, at(100)));
     policy.fenced(List.of(machine));
     assertEquals(ShardMovePolicy.State.COUNTS, policy.state(machine, at(101)));
--- a/src/test/java/org/quincecross/shard/ShardOwnerModelTest.java
+++ b/src/test/java/org/quincecross/shard/ShardOwnerModelTest.java
@@ -588,7 +588,7 @@
                                   "Status",
                                   taskStatus.exitReason() == null ? "running" : "exited");
                           if (taskStatus.exitReason() != null) {
-                            each.put("Cause", AgentCodec.exitWord(taskStatus.exitReason()));
+                            each.put("Cause", AgentCodec.exitReasonName(taskStatus.exitReason()));
                           }
                           out.add(each);
                         });
