--- a/src/main/java/org/quincecross/peer/PeerCodec.java
+++ b/src/main/java/org/quincecross/peer/PeerCodec.java
@@ -178,7 +178,7 @@
             new PeerHeartbeat.Receipt(
                 new Incarnation(in.unpackLong()), in.unpackLong(), in.unpackBoolean()));
       }
-      Revision ledger = new Revision(in.unpackLong());
+      Revision cacheRevision = new Revision(in.unpackLong());
       TimeSpan unconfirmed = new TimeSpan(in.unpackLong());
       List<MachineId> foreignMachines = readTexts(in).stream().map(MachineId::new).toList();
       List<PeerHeartbeat.ShardStatus> shards = new ArrayList<>();
@@ -195,7 +195,7 @@
           number,
           base,
           receipts,
-          ledger,
+          cacheRevision,
           unconfirmed,
           shards,
           foreignMachines,
--- a/src/test/java/org/quincecross/state/StateWatcherTest.java
+++ b/src/test/java/org/quincecross/state/StateWatcherTest.java
@@ -147,7 +147,7 @@
     cache.addListener(
         changes ->
             assertTrue(
-                cache.revision().value() >= asked, "the ledger went back to " + cache.revision()));
+                cache.revision().value() >= asked, "the cache went back to " + cache.revision()));
     refuse(watch(), 410);
     answerPages(20);
     Call catchingUp = barrier();
