--- a/src/main/java/org/quincecross/api/LoadShedder.java
+++ b/src/main/java/org/quincecross/api/LoadShedder.java
@@ -40,7 +40,10 @@
         .withRetryAfter(1);
   }
 
-  /** Rejects a request, or has it retried by {@code again} if contact returns by then. */
+  /**
+   * Rejects a request after {@link #REJECTION_DELAY}, or runs {@code retry} if contact has returned
+   * by then. Rejects at once while this controller takes users, or if too many requests wait.
+   */
   void reject(Consumer<HttpResponse> reply, Runnable retry) {
     if (isolation.get().takesUsers() || delayed >= MAX_DELAYED) {
       reply.accept(rejection());
--- a/src/main/java/org/quincecross/emulator/CloudSimulator.java
+++ b/src/main/java/org/quincecross/emulator/CloudSimulator.java
@@ -188,7 +188,7 @@
     }
   }
 
-  /** For {@code seconds}, rented machines boot within {@code mostS}. */
+  /** For {@code seconds}, rented machines boot within {@code longestS}. */
   void bootWithin(double longestS, double seconds) {
     maxBootS = longestS;
     quickBootUntil = environment.clock().seconds() + seconds;
--- a/src/main/java/org/quincecross/emulator/KeyValueStoreSimulator.java
+++ b/src/main/java/org/quincecross/emulator/KeyValueStoreSimulator.java
@@ -37,7 +37,7 @@
   private static final int MAX_TRANSACTION_BYTES = 64 * 1024;
   private static final double MAX_WATCH_S = 60;
 
-  private record StoredValue(Object value, int bytes, long stamp, long lease) {}
+  private record StoredValue(Object value, int bytes, long stamp, long leaseId) {}
 
   private record ChangeEvent(String key, Object value, long stamp) {}
 
@@ -267,7 +267,7 @@
                   "Stamp",
                   value.stamp(),
                   "Hold",
-                  value.lease()));
+                  value.leaseId()));
     } else if (path.equals("/keys")) {
       reply.accept(list(request));
     } else if (path.equals("/holds")) {
@@ -438,16 +438,16 @@
   }
 
   /** The only place where a key changes. */
-  private void change(String key, Object value, int bytes, long lease) {
+  private void change(String key, Object value, int bytes, long leaseId) {
     StoredValue before =
         value == null
             ? keys.remove(key)
-            : keys.put(key, new StoredValue(value, bytes, epoch, lease));
-    if (before != null && leases.containsKey(before.lease())) {
-      leases.get(before.lease()).keys.remove(key);
+            : keys.put(key, new StoredValue(value, bytes, epoch, leaseId));
+    if (before != null && leases.containsKey(before.leaseId())) {
+      leases.get(before.leaseId()).keys.remove(key);
     }
-    if (lease != 0) {
-      leases.get(lease).keys.add(key);
+    if (leaseId != 0) {
+      leases.get(leaseId).keys.add(key);
     }
     if (value != null || before != null) {
       events.add(new ChangeEvent(key, value, epoch));
--- a/src/main/java/org/quincecross/leader/FreeCapacity.java
+++ b/src/main/java/org/quincecross/leader/FreeCapacity.java
@@ -117,14 +117,15 @@
   /** Whether enough whole machines remain for large work without this machine. */
   private boolean leavesWholeMachines(MachineId machine, ShardLease shard) {
     PurchaseKind kind = new PurchaseKind(shard.type(), shard.spot());
-    int ownState = 0;
+    int ownWholeMachines = 0;
     for (Headroom headroom : largeWork.getOrDefault(kind, List.of())) {
       PeerHeartbeat.MachineState state = view.machines().get(machine);
       boolean isWhole =
           state != null && stays(machine, shard) && headroom.each().fitsIn(state.free());
-      ownState = isWhole ? 1 : 0;
+      ownWholeMachines = isWhole ? 1 : 0;
     }
-    return wholeMachines.getOrDefault(kind, 0) - ownState >= machinesToKeep.getOrDefault(kind, 0);
+    return wholeMachines.getOrDefault(kind, 0) - ownWholeMachines
+        >= machinesToKeep.getOrDefault(kind, 0);
   }
 
   /**
--- a/src/main/java/org/quincecross/leader/LegalHoldStartBlock.java
+++ b/src/main/java/org/quincecross/leader/LegalHoldStartBlock.java
@@ -175,11 +175,13 @@
   }
 
   private void reload(Set<JobId> concerned) {
-    sweeps.all().forEach((lane, held) -> concerned.addAll(index.setSweepClass(lane, held.state())));
+    sweeps
+        .all()
+        .forEach((lane, record) -> concerned.addAll(index.setSweepClass(lane, record.state())));
     claims.all().keySet().forEach(page -> claim(page, concerned));
-    Set<String> closedHolds = new HashSet<>(index.references());
-    closedHolds.removeAll(holds.all().keySet());
-    closedHolds.forEach(reference -> hold(reference, concerned));
+    Set<String> missingHolds = new HashSet<>(index.references());
+    missingHolds.removeAll(holds.all().keySet());
+    missingHolds.forEach(reference -> hold(reference, concerned));
     Set.copyOf(sweeping.keySet()).forEach(id -> job(id, concerned));
     cache.jobs().forEach(id -> job(id, concerned));
     holds.all().keySet().forEach(reference -> hold(reference, concerned));
--- a/src/main/java/org/quincecross/leader/ShardLeaseManager.java
+++ b/src/main/java/org/quincecross/leader/ShardLeaseManager.java
@@ -119,11 +119,11 @@
   private double cost(ControllerRecord member, String zone, Map<ControllerId, Integer> load) {
     double average = (double) cache.machineCount() / cache.members().size();
     // if no controller reaches the machines, those that do not are equal
-    double unreachableMachines =
+    double unreachableCost =
         reachability.state(member.id(), zone, timers.now()) == ReachabilityMap.State.HEARS
             ? 0
             : cache.machineCount() + MIN_REMOTE_ZONE_COST;
-    return unreachableMachines
+    return unreachableCost
         + load.getOrDefault(member.id(), 0)
         + (member.zone().equals(zone)
             ? 0
--- a/src/main/java/org/quincecross/modelserving/ReplicaPlacer.java
+++ b/src/main/java/org/quincecross/modelserving/ReplicaPlacer.java
@@ -27,8 +27,8 @@
   /**
    * A machine that accepts work.
    *
-   * @param free available resources; {@code soon} adds what preempting lower-priority work will
-   *     release
+   * @param free available resources
+   * @param freeAfterPreemption the same, plus what preempting lower-priority work will release
    * @param fetchGbPerS nominal fetch rate
    * @param fetching images being fetched or queued for fetching, in fetch order, with the remaining
    *     GB of each
--- a/src/main/java/org/quincecross/overload/Overload.java
+++ b/src/main/java/org/quincecross/overload/Overload.java
@@ -295,14 +295,14 @@
    * Records that tasks of a job were admitted: charges its group, and the share of deferred work.
    */
   public void admitted(JobId job, int tasks) {
-    AdmissionCandidate pending = pendingById.get(job);
-    if (pending != null && pending.divisible()) {
-      admitted.add(tasks * pending.taskWork());
+    AdmissionCandidate candidate = pendingById.get(job);
+    if (candidate != null && candidate.divisible()) {
+      admitted.add(tasks * candidate.taskWork());
     }
-    if (pending != null && !pending.guaranteed()) {
-      floorCredits.pay(pending.group(), tasks * pending.taskWork());
+    if (candidate != null && !candidate.guaranteed()) {
+      floorCredits.pay(candidate.group(), tasks * candidate.taskWork());
       if (deferred.contains(job)) {
-        deferredCredits.pay(DEFERRED_GROUP, tasks * pending.taskWork());
+        deferredCredits.pay(DEFERRED_GROUP, tasks * candidate.taskWork());
       }
     }
   }
--- a/src/main/java/org/quincecross/quota/QuotaUsage.java
+++ b/src/main/java/org/quincecross/quota/QuotaUsage.java
@@ -68,9 +68,9 @@
     if (node.parent() == null) {
       return Resources.NONE;
     }
-    Resources unusedGuarantee =
+    Resources unlentGuarantee =
         node.guarantee().times(1 - node.spec().lend()).minus(used[node.index()]);
-    return unusedGuarantee.max(reserved[node.index()]).max(Resources.NONE);
+    return unlentGuarantee.max(reserved[node.index()]).max(Resources.NONE);
   }
 
   /**
--- a/src/main/java/org/quincecross/replicated/RecordFields.java
+++ b/src/main/java/org/quincecross/replicated/RecordFields.java
@@ -87,7 +87,7 @@
     throw malformed(name, "is not true or false");
   }
 
-  /** Returns an integer from {@code least} to {@code most}. */
+  /** Returns an integer from {@code min} to {@code max}. */
   public long integer(String name, long min, long max) throws MalformedRecordException {
     Object value = required(name);
     if ((value instanceof Long || value instanceof Integer)
@@ -103,7 +103,7 @@
     return has(name) ? integer(name, min, max) : defaultValue;
   }
 
-  /** Returns a finite number from {@code least} to {@code most}. */
+  /** Returns a finite number from {@code min} to {@code max}. */
   public double amount(String name, double min, double max) throws MalformedRecordException {
     if (required(name) instanceof Number number
         && number.doubleValue() >= min
@@ -113,7 +113,7 @@
     throw malformed(name, "is not a number from " + min + " to " + max);
   }
 
-  /** Returns the constant of {@code words} named by the field, in lower or upper case. */
+  /** Returns the constant of {@code type} named by the field, in lower or upper case. */
   public <E extends Enum<E>> E enumConstant(String name, Class<E> type)
       throws MalformedRecordException {
     String text = text(name);
--- a/src/main/java/org/quincecross/replicated/ReplicatedRecord.java
+++ b/src/main/java/org/quincecross/replicated/ReplicatedRecord.java
@@ -156,7 +156,7 @@
     return trailWithRevisions(version);
   }
 
-  /** Returns the record without its first {@code lines} audit entries, which are on a page now. */
+  /** Returns the record without its first {@code count} audit entries, which are on a page now. */
   public ReplicatedRecord<S> withoutEntries(int count, Revision version) {
     List<AuditEntry> all = trailWithRevisions(version);
     return new ReplicatedRecord<>(
--- a/src/main/java/org/quincecross/reservation/RequestUsage.java
+++ b/src/main/java/org/quincecross/reservation/RequestUsage.java
@@ -97,14 +97,15 @@
       elsewhere += zone.getValue() - inZone;
     }
     for (; elsewhere > 0; elsewhere--) {
-      String max = null;
+      String largest = null;
       for (Map.Entry<String, Integer> zone : unused.entrySet()) {
-        max = zone.getValue() > (max == null ? 0 : unused.get(max)) ? zone.getKey() : max;
+        largest =
+            zone.getValue() > (largest == null ? 0 : unused.get(largest)) ? zone.getKey() : largest;
       }
-      if (max == null) {
+      if (largest == null) {
         break;
       }
-      unused.merge(max, -1, Integer::sum);
+      unused.merge(largest, -1, Integer::sum);
     }
     unused.values().removeIf(tasks -> tasks <= 0);
     return unused;
--- a/src/main/java/org/quincecross/rollout/AnnouncedLimits.java
+++ b/src/main/java/org/quincecross/rollout/AnnouncedLimits.java
@@ -35,14 +35,14 @@
    * the limit of this one.
    */
   public static Map<String, Team> lowest(
-      Map<String, Team> ownChecksums, Iterable<AnnouncedLimits> announced) {
-    Map<String, Team> teams = ownChecksums;
+      Map<String, Team> ownTeams, Iterable<AnnouncedLimits> announced) {
+    Map<String, Team> teams = ownTeams;
     for (AnnouncedLimits announcedLimits : announced) {
-      for (Team team : ownChecksums.values()) {
+      for (Team team : ownTeams.values()) {
         Resources limit = announcedLimits.limits().get(team.name());
         Resources lowestSoFar = teams.get(team.name()).limit();
         if (limit != null && !lowestSoFar.fitsIn(limit)) {
-          teams = teams == ownChecksums ? new LinkedHashMap<>(ownChecksums) : teams;
+          teams = teams == ownTeams ? new LinkedHashMap<>(ownTeams) : teams;
           teams.put(
               team.name(),
               new Team(
--- a/src/main/java/org/quincecross/shard/Placements.java
+++ b/src/main/java/org/quincecross/shard/Placements.java
@@ -167,9 +167,9 @@
 
   /** Whether anything has changed since the last call. */
   boolean takeSchedulingNeeded() {
-    boolean changes = schedulingNeeded;
+    boolean needed = schedulingNeeded;
     schedulingNeeded = false;
-    return changes;
+    return needed;
   }
 
   /** The machines on which something has changed since the last call. */
--- a/src/test/java/org/quincecross/dependency/DependencyGraphTest.java
+++ b/src/test/java/org/quincecross/dependency/DependencyGraphTest.java
@@ -100,9 +100,9 @@
   private void checkRandomRecords(Random random) {
     int jobs = 2 + random.nextInt(9);
     for (int step = 0; step < 40; step++) {
-      Map<JobId, JobStatus> dependency = new HashMap<>();
+      Map<JobId, JobStatus> statusesBefore = new HashMap<>();
       for (int number = 0; number < jobs; number++) {
-        dependency.put(job(number), recount(job(number)));
+        statusesBefore.put(job(number), recount(job(number)));
       }
       int number = random.nextInt(jobs);
       DependencyGraph.JobState own = records.get(job(number));
@@ -127,7 +127,7 @@
       for (int i = 0; i < jobs; i++) {
         JobStatus now = recount(job(i));
         assertEquals(now, status(job(i)));
-        JobStatus was = dependency.get(job(i));
+        JobStatus was = statusesBefore.get(job(i));
         assertTrue(
             (now.waits() == was.waits() && Objects.equals(now.cancelled(), was.cancelled()))
                 || changed.contains(job(i)),
--- a/src/test/java/org/quincecross/overload/StartGuaranteeTest.java
+++ b/src/test/java/org/quincecross/overload/StartGuaranteeTest.java
@@ -166,8 +166,8 @@
               .reversed()
               .thenComparing(job -> job.submitted));
       double free = SHARD.cpus();
-      for (Map.Entry<SimulatedJob, Double> job : running.get(name)) {
-        free -= job.getKey().job.taskResources().cpus();
+      for (Map.Entry<SimulatedJob, Double> entry : running.get(name)) {
+        free -= entry.getKey().job.taskResources().cpus();
       }
       for (SimulatedJob job : List.copyOf(queue)) {
         if (job.job.taskResources().cpus() <= free) {
