--- a/src/main/java/org/quincecross/failuredetection/UnconfirmedOwnershipBound.java
+++ b/src/main/java/org/quincecross/failuredetection/UnconfirmedOwnershipBound.java
@@ -37,17 +37,17 @@
  *       accepts after that contains a stop for each task of the job in the heartbeat that it
  *       responds to. So either a task continues without a response being accepted, for at most L;
  *       or its start was delayed beyond a response that was accepted after t. If it was delayed by
- *       {@code DELAYED_START} at most, everything has ended by t + {@code DELAYED_START} + L; if
- *       longer, the machine gets no more responses in time ({@code shard.UnacknowledgedResponses},
- *       with the proof). A successor of that owner, also after a crash, knows of the cancellation
- *       before it begins.
+ *       {@code DELAYED_START_S} at most, everything has ended by t + {@code DELAYED_START_S} + L;
+ *       if longer, the machine gets no more responses in time ({@code
+ *       shard.UnacknowledgedResponses}, with the proof). A successor of that owner, also after a
+ *       crash, knows of the cancellation before it begins.
  *   <li>By 1, a task leaves the records once it is proven to be on no machine, and what is
  *       allocated later is allocated to an owner that has seen the cancellation first.
  * </ul>
  *
  * Clocks of two machines differ by 0.05% at most. That, message delays and agents that notice late
  * make up the margin M, so it suffices that T + 1.002 L + M &le; D + C, and for 2 that {@code
- * DELAYED_START} + 1.002 L + M &le; C. D is 8 s if that leaves T as long as an owner needs to
+ * DELAYED_START_S} + 1.002 L + M &le; C. D is 8 s if that leaves T as long as an owner needs to
  * survive a brief disturbance (two store confirmations and two unanswered barriers; a pause of a
  * second and its consequences), and otherwise as much longer as needed. Users retry for 60 s, so D
  * has an upper limit; settings that need more have no bound.
